--- a/tests/builders_platform.py
+++ b/tests/builders_platform.py
@@ -1,13 +1,13 @@
-"""Build bodies as the platform sends them."""
+"""Build request and response bodies as the platform sends them."""
 
 from __future__ import annotations
 
-JOB = '5c0e7a21d94b36f8'
+JOB_ID = '5c0e7a21d94b36f8'
 Body = dict[str, object]
 
 
 def heartbeat() -> Body:
-    """Return a whole heartbeat."""
+    """Return a heartbeat with all fields."""
     return {
         'service': 's',
         'address': '10.0.0.9:8080',
@@ -21,13 +21,13 @@
         'labels': ['kind', 'r1-3'],
         'capacity': {'cpu': 16000, 'memMb': 32768, 'gpu': 0},
         'clockMs': 482113,
-        'running': [[f'{JOB}.0.1.17', 2, 'saved', 41, 700]],
-        'finished': [[58, f'{JOB}.0.1.9', 1, 'done', '']],
+        'running': [[f'{JOB_ID}.0.1.17', 2, 'saved', 41, 700]],
+        'finished': [[58, f'{JOB_ID}.0.1.9', 1, 'done', '']],
     }
 
 
 def vm_entry() -> Body:
-    """Return one VM of the platform's list."""
+    """Return one entry of the platform's list of VMs."""
     return {
         'machine': 'm-1',
         'pool': 's',
@@ -39,21 +39,21 @@
     }
 
 
-def vm_list() -> Body:
-    """Return a page of that list."""
+def vm_page() -> Body:
+    """Return a page of the platform's list of VMs."""
     return {'machines': [vm_entry()], 'nextToken': None}
 
 
-def advice() -> Body:
-    """Return what the advisor answers."""
+def advice_response() -> Body:
+    """Return a response of the advisor."""
     return {
         'allowedWorkers': [['i-1', 'ticket']],
         'validityMs': 3000,
     }
 
 
-def submitted() -> Body:
-    """Return a job of one step."""
+def submitted_job() -> Body:
+    """Return a submitted job with one step."""
     return {
         'spec': 'text',
         'phases': [{'count': 2, 'cpu': 500, 'dependsOn': []}],
@@ -61,7 +61,7 @@
 
 
 def manifest_text() -> Body:
-    """Return a manifest of one queue."""
+    """Return a manifest with one queue."""
     return {
         'version': 3,
         'routes': [
@@ -78,7 +78,7 @@
 
 
 def wave() -> Body:
-    """Return a wave of one VM."""
+    """Return a maintenance wave with one VM."""
     return {
         'wave': 1,
         'machines': ['m-1'],
--- a/tests/platform/test_decoding.py
+++ b/tests/platform/test_decoding.py
@@ -1,4 +1,4 @@
-"""Test that the platform's words are read once and checked at the border."""
+"""Test how the platform's fields are decoded and validated."""
 
 from __future__ import annotations
 
@@ -69,8 +69,8 @@
 class TestJobs(testtools.TestCase):
     """Submitted jobs."""
 
-    def test_fields_get_their_meaning(self) -> None:
-        """Names that say little are decoded into names that do."""
+    def test_fields_are_mapped(self) -> None:
+        """The platform's field names are mapped to those of a step."""
         body = _job(
             checkpointing=True,
             longRunning=True,
@@ -95,13 +95,13 @@
         )
 
     def test_filler_takes_no_processors(self) -> None:
-        """It incarnations on what others leave, but its memory counts."""
+        """It runs on processors that others leave idle; its memory counts."""
         room = decode_job(_job(utilisation=True)).steps[0].room
         self.assertThat(room.processors, matchers.Equals(0))
         self.assertThat(room.memory_bytes, matchers.GreaterThan(0))
 
-    def test_impossible_jobs_are_refused(self) -> None:
-        """Each with a number, and nothing is taken."""
+    def test_invalid_jobs_are_refused(self) -> None:
+        """Each with the result code for an invalid job."""
         bodies = (
             b'{',
             b'{"spec":"x","phases":[]}',
@@ -118,25 +118,25 @@
             error = self.assertRaises(RequestRefusedError, decode_job, body)
             self.assertThat(error.code, matchers.Equals(ResultCode.JOB_INVALID))
 
-    def test_states_have_the_platforms_words(self) -> None:
+    def test_states_have_the_platforms_names(self) -> None:
         """A job that has not started is queued."""
-        words = {
+        names = {
             (JobPhase.ACTIVE, False): 'queued',
             (JobPhase.ACTIVE, True): 'running',
             (JobPhase.COMPLETED, True): 'completed',
             (JobPhase.FAILED, True): 'failed',
             (JobPhase.CANCELLED, False): 'cancelled',
         }
-        for (phase, has_started), word in words.items():
+        for (phase, has_started), name in names.items():
             body = json.loads(encode_state(JobState(phase, has_started)))
-            self.assertThat(body, matchers.Equals({'state': word}))
+            self.assertThat(body, matchers.Equals({'state': name}))
 
 
 class TestHeartbeats(testtools.TestCase):
-    """Reports of workers and the answers to them."""
+    """Heartbeats of workers and the responses to them."""
 
-    def test_report_is_read(self) -> None:
-        """Rows without names become typed records."""
+    def test_heartbeat_is_decoded(self) -> None:
+        """Rows without field names are decoded to typed records."""
         body = {
             'service': 's',
             'address': '10.0.0.9:8080',
@@ -161,9 +161,9 @@
             matchers.Equals(('m-1', 'r1-3', True, 900)),
         )
 
-    def test_unreadable_report_is_refused(self) -> None:
-        """A heartbeat of which a part is not understood counts nowhere."""
-        broken = (
+    def test_malformed_heartbeat_is_refused(self) -> None:
+        """One malformed part makes the whole heartbeat invalid."""
+        malformed = (
             b'[]',
             b'{"service":"s","address":"x","zone":"a"}',
             b'{"service":"s","address":"x","zone":"a","sequence":1,'
@@ -173,11 +173,11 @@
             b'{"service":"s","address":"x","zone":"a","sequence":1,'
             b'"finished":[[1,"a.0.0.0",1,"exploded",""]]}',
         )
-        for body in broken:
+        for body in malformed:
             self.assertRaises(RequestRefusedError, decode_heartbeat, 'i', body)
 
-    def test_orders_have_the_platforms_rows(self) -> None:
-        """What is empty is left out."""
+    def test_orders_are_encoded_as_rows(self) -> None:
+        """Empty lists and unset fields are left out."""
         key = TaskKey(_JOB, 0, 1, 2)
         orders = WorkerOrders(
             lease_ms=4000,
@@ -202,7 +202,7 @@
         )
 
     def test_late_heartbeat_extends_no_lease(self) -> None:
-        """An answer without orders says nothing that a worker acts on."""
+        """A response without orders is an empty object."""
         self.assertThat(
             json.loads(encode_orders(WorkerOrders())),
             matchers.Equals({}),
@@ -232,85 +232,85 @@
 
 
 class TestIncarnations(testtools.TestCase):
-    """Ids and starts, by which a worker's lives are told apart."""
+    """Ids and start times, which distinguish a worker's incarnations."""
 
-    def _name(self, **told: object) -> str:
-        body = {**heartbeat(), **told}
+    def _name(self, **changes: object) -> str:
+        body = {**heartbeat(), **changes}
         return decode_heartbeat('i-1', json.dumps(body).encode()).worker
 
-    def test_start_is_part_of_the_name(self) -> None:
-        """The same id with another start is another incarnation."""
+    def test_start_time_is_part_of_the_name(self) -> None:
+        """The same id with another start time is another incarnation."""
         first = self._name(born=1_764_740_000_000)
         self.assertThat(first, matchers.Equals('i-1#1764740000000'))
         self.assertThat(self._name(born=0), matchers.Equals('i-1#0'))
 
-    def test_worker_that_tells_no_start_has_its_id(self) -> None:
-        """As those that have a new id at each start."""
+    def test_id_is_the_name_without_a_start_time(self) -> None:
+        """Workers that get a new id at each start report none."""
         self.assertThat(self._name(), matchers.Equals('i-1'))
         self.assertThat(self._name(born=None), matchers.Equals('i-1'))
 
-    def test_start_of_another_kind_is_refused(self) -> None:
-        """What it is can't be told, so the heartbeat is nobody's."""
-        wrong: tuple[object, ...] = (-1, 1.5, '17', True, [], 10**30)
-        for born in wrong:
+    def test_invalid_start_time_is_refused(self) -> None:
+        """The heartbeat can't be attributed to an incarnation."""
+        invalid: tuple[object, ...] = (-1, 1.5, '17', True, [], 10**30)
+        for born in invalid:
             naming = functools.partial(self._name, born=born)
             refused = matchers.raises(RequestRefusedError)
             self.assertThat(naming, refused)
 
-    def test_id_with_the_mark_of_a_start_is_refused(self) -> None:
-        """It would stand for a life of another worker."""
+    def test_id_with_the_separator_is_refused(self) -> None:
+        """It could be taken for an incarnation of another worker."""
         body = json.dumps(heartbeat()).encode()
         self.assertThat(
             lambda: decode_heartbeat('i-1#5', body),
             matchers.raises(RequestRefusedError),
         )
 
-    def test_farewell_may_tell_a_start(self) -> None:
-        """It has no body, or one that says what heartbeats say."""
+    def test_deregistration_may_have_a_start_time(self) -> None:
+        """The body is empty, or has the start time as in heartbeats."""
         self.assertThat(
             decode_deregistration('i-1', b''), matchers.Equals('i-1')
         )
         self.assertThat(
             decode_deregistration('i-1', b'{}'), matchers.Equals('i-1')
         )
-        told = decode_deregistration('i-1', b'{"born":5}')
-        self.assertThat(told, matchers.Equals('i-1#5'))
+        name = decode_deregistration('i-1', b'{"born":5}')
+        self.assertThat(name, matchers.Equals('i-1#5'))
         self.assertThat(
             lambda: decode_deregistration('i-1', b'{"born":"x"}'),
             matchers.raises(RequestRefusedError),
         )
 
-    def test_tickets_are_of_the_lives_that_were_asked_for(self) -> None:
-        """The advisor knows ids alone; rows of others are dropped."""
-        answer = Advice({'i-1': 'one', 'i-9': 'nine'}, valid_s=3)
-        named = key_by_incarnation(answer, {'i-1': 'i-1#5', 'i-2': 'i-2#7'})
-        self.assertThat(named.tickets, matchers.Equals({'i-1#5': 'one'}))
+    def test_tickets_are_keyed_by_incarnation(self) -> None:
+        """The advisor only knows ids; tickets of other workers are dropped."""
+        advice = Advice({'i-1': 'one', 'i-9': 'nine'}, valid_s=3)
+        keyed = key_by_incarnation(advice, {'i-1': 'i-1#5', 'i-2': 'i-2#7'})
+        self.assertThat(keyed.tickets, matchers.Equals({'i-1#5': 'one'}))
 
 
 class TestManifests(testtools.TestCase):
     """The operator's manifests and waves."""
 
     def test_document_is_kept_as_it_was_sent(self) -> None:
-        """A read gives back the very bytes."""
+        """Reading the manifest returns exactly the same bytes."""
         body = _manifest(_route())
         manifest = decode_manifest(body)
         self.assertThat(manifest.document, matchers.Equals(body))
         self.assertThat(manifest.services[0].is_standby, matchers.Is(True))
 
     def test_invalid_manifests_are_refused(self) -> None:
-        """Cut short, contradicting itself, or out of range."""
-        broken = (
+        """Truncated, inconsistent, or with values out of range."""
+        invalid = (
             _manifest(_route())[:-5],
             _manifest(_route(service='other')),
             _manifest(_route(), _route(name='r-2')),
             _manifest(_route(timeoutMs=0)),
             _manifest(_route(), version=0),
         )
-        for body in broken:
+        for body in invalid:
             self.assertRaises(FleetTextError, decode_manifest, body)
 
-    def test_wave_is_read(self) -> None:
-        """Its limit is how many VMs are down at once."""
+    def test_wave_is_decoded(self) -> None:
+        """Its limit is the number of VMs that may be down at once."""
         body = b'{"wave":1,"machines":["m-1"],"deadlineS":20,"cap":3}'
         call = decode_wave(body)
         self.assertThat(
@@ -330,8 +330,8 @@
         path.write_text(text)
         return path
 
-    def test_seeds_are_named_by_where_they_talk(self) -> None:
-        """Ports are the same everywhere, and unknown keys are ignored."""
+    def test_seeds_have_the_port_for_processes(self) -> None:
+        """Ports are the same on all machines; unknown keys are ignored."""
         settings = read_platform_file(self._write(_SETTINGS))
         core = core_settings(settings)
         self.assertThat(
@@ -344,8 +344,8 @@
         self.assertThat(core.scheduling.stop_s, matchers.Equals(0.9))
         self.assertThat(core.scheduling.notice_s, matchers.Equals(6.5))
 
-    def test_wrong_files_are_refused_by_number(self) -> None:
-        """A file that is missing, cut short or of wrong kinds ends a start."""
+    def test_invalid_files_are_refused(self) -> None:
+        """A file is missing, truncated or has values of wrong types."""
         texts = (_SETTINGS[:90], _SETTINGS.replace('true', '"yes"'), 'x = [')
         for text in texts:
             error = self.assertRaises(
@@ -363,8 +363,8 @@
             pathlib.Path('missing.toml'),
         )
 
-    def test_core_process_needs_a_disk(self) -> None:
-        """Its data folder can't be left out."""
+    def test_core_process_needs_a_data_folder(self) -> None:
+        """The setting is required for a core process."""
         text = _SETTINGS.replace('dataDir', 'otherDir')
         settings = read_platform_file(self._write(text))
         error = self.assertRaises(
--- a/tests/platform/test_clean_machine.py
+++ b/tests/platform/test_deployed_packages.py
@@ -1,4 +1,8 @@
-"""Test that the platform's processes need only what their build installs."""
+"""Test that the platform's processes import only deployed packages.
+
+A process that imports a package missing from ``deploy/requirements.txt`` fails
+to start on the platform's machines.
+"""
 
 from __future__ import annotations
 
@@ -22,20 +26,22 @@
 _PACKAGES = pathlib.Path(sysconfig.get_path('purelib'))
 
 
-def _normal(name: str) -> str:
+def _normalized(name: str) -> str:
     return re.sub('[._]', '-', name).lower()
 
 
-def _installed() -> set[str]:
+def _required_packages() -> set[str]:
     lines = _REQUIREMENTS.read_text().splitlines()
-    return {_normal(line.partition('==')[0].strip()) for line in lines if line}
+    return {
+        _normalized(line.partition('==')[0].strip()) for line in lines if line
+    }
 
 
 def _link_modules(folder: pathlib.Path) -> None:
-    """Fill a folder with the modules of what the build installs."""
-    installed = _installed()
+    """Link the modules of the required packages into a folder."""
+    installed = _required_packages()
     for module, owners in metadata.packages_distributions().items():
-        if not installed & set(map(_normal, owners)):
+        if not installed & set(map(_normalized, owners)):
             continue
         for found in _PACKAGES.glob(f'{module}*'):
             if found.name.partition('.')[0] == module:
@@ -43,13 +49,13 @@
 
 
 class TestCleanMachine(testtools.TestCase):
-    """A machine with Python and what the build put into its folder."""
+    """A machine with only Python and the required packages."""
 
     def _run(self, code: str) -> None:
         with tempfile.TemporaryDirectory() as name:
             _link_modules(pathlib.Path(name))
             path = [name, str(_ROOT / 'src')]
-            ended = subprocess.run(  # noqa: S603
+            completed = subprocess.run(  # noqa: S603
                 [
                     sys.executable,
                     '-S',
@@ -60,16 +66,16 @@
                 text=True,
                 check=False,
             )
-        self.assertThat(ended.stderr, matchers.Equals(''))
-        self.assertThat(ended.returncode, matchers.Equals(0))
+        self.assertThat(completed.stderr, matchers.Equals(''))
+        self.assertThat(completed.returncode, matchers.Equals(0))
 
     def test_processes_can_be_imported(self) -> None:
-        """No module asks for a package that is not there."""
+        """No module imports a package that is not deployed."""
         for process in _PROCESSES:
             self._run(f'import wigeonreach.platform.__main__, {process}')
 
-    def test_entry_loads_nothing_of_the_core(self) -> None:
-        """Entries are many, and each restart loads all again."""
+    def test_entry_does_not_import_the_core(self) -> None:
+        """It would slow down each start of the many entry processes."""
         self._run(
             f'import wigeonreach.platform.__main__, {_PROCESSES[0]}; '
             "assert 'wigeonreach.core' not in sys.modules",
--- a/tests/platform/test_http.py
+++ b/tests/platform/test_http.py
@@ -1,15 +1,12 @@
-"""Test what becomes of requests that come while a process ends.
-
-Seen: a caller's request was read whole, 2.8 s after the order to end, and its
-connection was closed 0.6 s later without an answer; on one drawn day.
-
-How it came about: the process had found that no request was in flight, and
-ended its connections to the core first.  A request that came then waited for a
-core until its own connection was closed, 0.5 s after the listener.
-
-Cause, as far as it is known: nothing refused requests between the end of the
-waiting and that of the listener.  The close came just that time after it; the
-same day, played again, did not show it.
+"""Test that requests arriving while a process shuts down get a response.
+
+Guards against a connection that is closed without a response.  In one
+simulated run, a request was read 2.8 s after the shutdown began, and its
+connection was closed 0.6 s later.  The process had seen no request in flight
+and had closed its connections to the core; a request that arrived after that
+waited for a core until the listener closed its connection, 0.5 s after it had
+stopped listening.  The likely cause is that nothing refused requests in that
+interval: its length fits, but a repetition of the run did not reproduce it.
 """
 
 from __future__ import annotations
@@ -24,38 +21,40 @@
 from wigeonreach.wire import parse_address
 
 _REQUEST = b'GET /a HTTP/1.1\r\nHost: club.example\r\n\r\n'
-# Far above what anything here takes; it only ends a test that hangs.
-_PATIENCE_S = 30.0
+# Far above the duration of the test; only ends it if it hangs.
+_HANG_TIMEOUT_S = 30.0
 
 
-async def _never(request: HttpRequest) -> HttpReply:
-    """Wait for a core that does not come any more."""
+async def _never_reply(request: HttpRequest) -> HttpReply:
+    """Wait forever, as for a core that is not available any more."""
     await asyncio.Event().wait()
     raise AssertionError
 
 
-class TestEnd(testtools.TestCase):
-    """A listener that has been found idle, and is about to end."""
+class TestShutdown(testtools.TestCase):
+    """A listener that was idle and is about to stop."""
 
-    def test_request_that_comes_then_is_refused(self) -> None:
-        """It was not passed on, so the refusal is true."""
-        status = asyncio.run(self._ask_late())
+    def test_late_request_is_refused(self) -> None:
+        """With 503, which is correct as the request was not forwarded."""
+        status = asyncio.run(self._request_late())
         self.assertThat(status, matchers.StartsWith(b'HTTP/1.1 503 '))
 
-    async def _ask_late(self) -> bytes:
-        """Return the first line of the answer to a late request."""
+    async def _request_late(self) -> bytes:
+        """Return the status line of the response to a late request."""
         address = free_addresses(1)[0]
-        listener = HttpListener(parse_address(address, 'listen'), _never, 0)
-        async with asyncio.timeout(_PATIENCE_S):
+        listener = HttpListener(
+            parse_address(address, 'listen'), _never_reply, 0
+        )
+        async with asyncio.timeout(_HANG_TIMEOUT_S):
             await listener.start()
             host, _, port = address.partition(':')
             reader, writer = await asyncio.open_connection(host, int(port))
             listener.disable_keep_alive()
             await listener.refuse_when_idle(1.0)
             writer.write(_REQUEST)
-            answered = asyncio.create_task(reader.readline())
-            # Until the request has arrived, which closing would overtake.
-            await asyncio.wait((answered,), timeout=0.2)
+            status_line = asyncio.create_task(reader.readline())
+            # Wait until the request has arrived, as stopping would overtake it.
+            await asyncio.wait((status_line,), timeout=0.2)
             await listener.stop()
             writer.close()
-            return await answered
+            return await status_line
--- a/tests/platform/test_foreign_bodies.py
+++ b/tests/platform/test_malformed_bodies.py
@@ -1,8 +1,9 @@
-"""Test bodies that another writer may have made, at each decoder.
+"""Test each decoder with malformed bodies, as other programs may send them.
 
-Answers lists and heartbeats of which a part is missing, of another type, has
-names that nobody gave, or can't be read at all: such a part names no worker or
-VM to use, and the sound part beside it holds.
+Guards against decoders that fail with an unexpected exception, or that use a
+worker or VM of a malformed part, on bodies in which a part is missing, has
+another type, has unknown names or can't be parsed.  A malformed entry of a list
+must not invalidate the valid ones.
 """
 
 from __future__ import annotations
@@ -19,14 +20,14 @@
 from testtools import matchers
 
 from tests.builders_platform import (
-    JOB,
+    JOB_ID,
     Body,
-    advice,
+    advice_response,
     heartbeat,
     manifest_text,
-    submitted,
+    submitted_job,
     vm_entry,
-    vm_list,
+    vm_page,
     wave,
 )
 from wigeonreach.exceptions import FleetTextError, RequestRefusedError
@@ -39,7 +40,7 @@
 
 _SEED = 20_261
 _MUTATIONS = 3000
-_STRANGE: tuple[object, ...] = (
+_UNEXPECTED_VALUES: tuple[object, ...] = (
     None,
     True,
     -1,
@@ -59,47 +60,48 @@
 Decode = Callable[[bytes], object]
 
 
-def _heartbeat(body: bytes) -> object:
+def _decode_heartbeat(body: bytes) -> object:
     return decode_heartbeat('i-1', body)
 
 
-def _page(body: bytes) -> object:
+def _decode_vm_page(body: bytes) -> object:
     return _machines.decode_page(200, body)
 
 
-def _advice(body: bytes) -> object:
+def _decode_advice(body: bytes) -> object:
     return _advisor.decode_advice(200, body)
 
 
 @dataclasses.dataclass(frozen=True)
-class _Border:
-    """A decoder, a body that it reads, and how it refuses others."""
+class _DecoderCase:
+    """A decoder, a valid body, and the error that it raises for others."""
 
     decode: Decode
-    sound: Body
-    refusal: type[Exception]
+    valid: Body
+    expected_error: type[Exception]
 
     def survives(self, body: bytes) -> None:
-        """Decode a body; only a refusal may come out instead of a result."""
+        """Decode a body; only the expected error may be raised."""
         try:
             decoded = self.decode(body)
-        except self.refusal:
+        except self.expected_error:
             return
-        # What is accepted goes on to other processes.
+        # Accepted bodies are forwarded, so they must be encodable.
         msgspec.msgpack.encode(decoded)
 
 
+# The decoders at the border of the system, for data from other programs.
 _BORDERS = (
-    _Border(_heartbeat, heartbeat(), RequestRefusedError),
-    _Border(_page, vm_list(), UnreadableBodyError),
-    _Border(_advice, advice(), UnreadableBodyError),
-    _Border(decode_job, submitted(), RequestRefusedError),
-    _Border(decode_manifest, manifest_text(), FleetTextError),
-    _Border(decode_wave, wave(), FleetTextError),
+    _DecoderCase(_decode_heartbeat, heartbeat(), RequestRefusedError),
+    _DecoderCase(_decode_vm_page, vm_page(), UnreadableBodyError),
+    _DecoderCase(_decode_advice, advice_response(), UnreadableBodyError),
+    _DecoderCase(decode_job, submitted_job(), RequestRefusedError),
+    _DecoderCase(decode_manifest, manifest_text(), FleetTextError),
+    _DecoderCase(decode_wave, wave(), FleetTextError),
 )
 
 
-def _mutate(part: object, rng: random.Random) -> object:
+def _mutated(part: object, rng: random.Random) -> object:
     """Return a body with one part dropped, replaced or mutated."""
     if isinstance(part, dict) and part:
         name = rng.choice(sorted(part))
@@ -114,11 +116,15 @@
             _replaced(entry, rng) if number == index else entry
             for number, entry in enumerate(part)
         ]
-    return rng.choice(_STRANGE)
+    return rng.choice(_UNEXPECTED_VALUES)
 
 
 def _replaced(part: object, rng: random.Random) -> object:
-    return _mutate(part, rng) if rng.randrange(10) < 6 else rng.choice(_STRANGE)
+    return (
+        _mutated(part, rng)
+        if rng.randrange(10) < 6
+        else rng.choice(_UNEXPECTED_VALUES)
+    )
 
 
 def _encode(body: object, rng: random.Random) -> bytes:
@@ -130,14 +136,14 @@
 
 
 class TestAnyBytes(testtools.TestCase):
-    """No body makes a decoder fail in a way that its caller does not expect."""
+    """No body makes a decoder raise an exception that callers don't expect."""
 
     def test_mutated_bodies_are_refused_or_read(self) -> None:
-        """Parts are missing, of other types, or not to be read."""
+        """Parts are missing, have other types, or can't be parsed."""
         rng = random.Random(_SEED)
         for _ in range(_MUTATIONS):
             for border in _BORDERS:
-                border.survives(_encode(_mutate(border.sound, rng), rng))
+                border.survives(_encode(_mutated(border.valid, rng), rng))
 
     @hypothesis.settings(deadline=None, derandomize=True, database=None)
     @hypothesis.given(strategies.binary(max_size=200))
@@ -147,62 +153,64 @@
             border.survives(body)
 
     def test_deep_nesting_is_refused(self) -> None:
-        """A body of brackets only does not exhaust the stack."""
+        """A body of opening brackets only does not exhaust the stack."""
         body = b'[' * 100_000
         for border in _BORDERS:
             border.survives(body)
 
 
-class TestForeignHeartbeats(testtools.TestCase):
-    """A heartbeat that is not understood in full names no worker to use."""
+class TestMalformedHeartbeats(testtools.TestCase):
+    """A heartbeat with any malformed part is refused as a whole."""
 
     def _refused(self, **changes: object) -> None:
         body = json.dumps({**heartbeat(), **changes}).encode()
-        self.assertRaises(RequestRefusedError, _heartbeat, body)
+        self.assertRaises(RequestRefusedError, _decode_heartbeat, body)
 
-    def test_sound_one_is_read(self) -> None:
-        """The one from which the others are made."""
-        _heartbeat(json.dumps(heartbeat()).encode())
+    def test_valid_heartbeat_is_accepted(self) -> None:
+        """The unchanged body that the other tests modify."""
+        _decode_heartbeat(json.dumps(heartbeat()).encode())
 
     def test_unknown_state_is_refused(self) -> None:
-        """Only what is known to take work is given work."""
+        """Only workers in a known state are given tasks."""
         self._refused(state='resting')
         self._refused(state=None)
 
-    def test_missing_part_is_refused(self) -> None:
-        """What decides where work goes has to be told."""
+    def test_missing_field_is_refused(self) -> None:
+        """Fields that decide on the placement of tasks are required."""
         for name in ('state', 'capacity', 'labels', 'sequence', 'service'):
             body = {
-                part: told for part, told in heartbeat().items() if part != name
+                field: content
+                for field, content in heartbeat().items()
+                if field != name
             }
             encoded = json.dumps(body).encode()
-            self.assertRaises(RequestRefusedError, _heartbeat, encoded)
+            self.assertRaises(RequestRefusedError, _decode_heartbeat, encoded)
 
     def test_rows_of_other_types_are_refused(self) -> None:
-        """A row that can't be read says nothing for sure."""
+        """One malformed row makes the whole heartbeat unreliable."""
         rows = (
             [7, 1, '', 0],
             [None, 1, '', 0],
-            [f'{JOB}.0.0.0', None, '', 0],
-            [f'{JOB}.0.0.0', 1],
-            [f'{JOB}.0.0.\u0661', 1, '', 0],
+            [f'{JOB_ID}.0.0.0', None, '', 0],
+            [f'{JOB_ID}.0.0.0', 1],
+            [f'{JOB_ID}.0.0.\u0661', 1, '', 0],
             'row',
         )
         for row in rows:
             self._refused(running=[row])
-        self._refused(finished=[[1, f'{JOB}.0.0.0', 1, 'exploded', '']])
-        self._refused(finished=[[1, f'{JOB}.0.0.0', 1, ['done'], '']])
+        self._refused(finished=[[1, f'{JOB_ID}.0.0.0', 1, 'exploded', '']])
+        self._refused(finished=[[1, f'{JOB_ID}.0.0.0', 1, ['done'], '']])
 
-    def test_capacity_below_nothing_is_refused(self) -> None:
-        """It would be taken for a worker that is over its room."""
+    def test_negative_capacity_is_refused(self) -> None:
+        """The worker would seem to exceed its capacity."""
         self._refused(capacity={'cpu': -1, 'memMb': 1})
 
 
-class TestForeignEntries(testtools.TestCase):
-    """One bad entry of a list does not void the others."""
+class TestMalformedEntries(testtools.TestCase):
+    """A malformed entry of a list does not invalidate the others."""
 
-    def test_sound_vms_are_kept(self) -> None:
-        """Each entry is read by itself."""
+    def test_valid_vms_are_kept(self) -> None:
+        """Each entry is decoded independently."""
         body = {
             'machines': [{'machine': 7}, vm_entry(), 'text', {'pool': 's'}],
             'nextToken': 'more',
@@ -212,17 +220,19 @@
         self.assertThat(page.unreadable, matchers.Equals(3))
         self.assertThat(page.next_token, matchers.Equals('more'))
 
-    def test_unknown_state_is_no_vm_to_use(self) -> None:
-        """A VM counts as down while it does what nobody named."""
+    def test_vm_of_unknown_state_is_not_used(self) -> None:
+        """A VM in an unknown state counts as down."""
         body = {'machines': [{**vm_entry(), 'state': 'resting'}]}
         page = _machines.decode_page(200, json.dumps(body).encode())
         self.assertThat(page.vms[0].phase, matchers.Is(VmPhase.DOWN))
 
-    def test_sound_tickets_are_kept(self) -> None:
-        """Each row is read by itself."""
+    def test_valid_tickets_are_kept(self) -> None:
+        """Each row is decoded independently."""
         body = {
             'allowedWorkers': [['i-1'], ['i-2', 'ticket'], 3, [None, '']],
             'validityMs': 3000,
         }
-        told = _advisor.decode_advice(200, json.dumps(body).encode())
-        self.assertThat(dict(told.tickets), matchers.Equals({'i-2': 'ticket'}))
+        decoded = _advisor.decode_advice(200, json.dumps(body).encode())
+        self.assertThat(
+            dict(decoded.tickets), matchers.Equals({'i-2': 'ticket'})
+        )
--- a/tests/platform/test_restarted_workers.py
+++ b/tests/platform/test_restarted_workers.py
@@ -1,20 +1,18 @@
-"""Test workers that start again under the id that they had.
-
-Seen: tasks that had ended well were begun again, up to 5 s later; and other
-jobs never went on after a first step that had ended well, while their pool had
-room to spare.
-
-How it came about: a worker went down and was back under its id within seconds,
-and counted its heartbeats and its ends from 1 again.  It was given work once
-its sequence had passed that of the life before, did it, and told of it.
-
-Cause: a worker was known by its id alone, so ends with numbers up to the last
-one of the life before counted as recorded, and were acknowledged though they
-were not.  The run was then ordered again; its worker refused what had ended
-there, and the refusal was overlooked for its number as well (the job stays for
-ever), or counted as never begun (the task runs twice).  The logs proved it: the
-worker kept the pace of one that has tasks, with none listed and no end
-recorded, and refusals came up beside each task that ran twice.
+"""Test workers that restart under the same id.
+
+Guards against tasks that run twice, up to 5 s after they had succeeded, and
+against jobs that hang after a first step that had succeeded, although their
+pool has free capacity.
+
+A worker that restarts within seconds counts its heartbeats and its ended runs
+from 1 again.  When workers were identified by id alone, ended runs with numbers
+up to the last one of the previous incarnation counted as recorded, and were
+acknowledged although they weren't.  The run was then ordered again, and the
+worker refused it as already ended.  That refusal either was ignored too, for
+its number (the job hangs), or counted as a run that never started (the task
+runs twice).  The logs confirmed this: the worker's heartbeats came at the rate
+of a worker with tasks while it listed none and no end was recorded, and there
+was a refusal for each task that ran twice.
 """
 
 from __future__ import annotations
@@ -34,27 +32,27 @@
 
 _COMPLETED = matchers.Equals(JobPhase.COMPLETED)
 _FAILED = matchers.Equals(JobPhase.FAILED)
-_MANY = 64
-# Longer than a lease.
+_MANY_TASKS = 64
+# More rounds than a lease lasts.
 _LONG_ROUNDS = 60
-# What is known of a crash comes seconds after it.
-_MOST_STARTS = 5
+# A crash is detected only seconds later, so the task is started several times.
+_MAX_STARTS = 5
 
 
 def _small_step(count: int) -> StepSpec:
     return step(count, cpu_millicores=100)
 
 
-class TestEndsOfTheNextLife(testtools.TestCase):
-    """What a worker does after it has started again."""
+class TestEndedRunsAfterRestart(testtools.TestCase):
+    """Runs that end on a worker after it restarted."""
 
     def setUp(self) -> None:
-        """Have one worker."""
+        """Create one worker."""
         super().setUp()
         self.worker = PlatformWorker('i-0', 'vm0')
 
-    def test_task_that_ended_well_is_not_begun_again(self) -> None:
-        """The next life counts its ends from 1, as the one before did."""
+    def test_succeeded_task_is_not_started_again(self) -> None:
+        """Both incarnations of the worker count their ended runs from 1."""
         fleet = WorkingFleet(store_with(job(_small_step(2))), self.worker)
         fleet.run(5)
         self.worker.start_again()
@@ -63,9 +61,11 @@
         self.assertThat(fleet.phase(OTHER_JOB), _COMPLETED)
         self.assertThat(set(fleet.begun.values()), matchers.Equals({1}))
 
-    def test_job_goes_on_after_steps_that_ended_well(self) -> None:
-        """However many ends the life before had."""
-        fleet = WorkingFleet(store_with(job(_small_step(_MANY))), self.worker)
+    def test_job_continues_after_succeeded_step(self) -> None:
+        """However many runs ended on the previous incarnation."""
+        fleet = WorkingFleet(
+            store_with(job(_small_step(_MANY_TASKS))), self.worker
+        )
         fleet.run(5)
         self.worker.start_again()
         two_steps = (_small_step(1), _small_step(1))
@@ -75,10 +75,10 @@
 
 
 class TestCrashes(testtools.TestCase):
-    """Tasks that bring workers down which keep their ids."""
+    """Tasks that crash workers which restart under the same id."""
 
     def test_task_that_crashes_its_workers_is_given_up(self) -> None:
-        """A worker that starts again has crashed, whatever it is called."""
+        """A restart counts as a crash even if the id stays the same."""
         store = store_with(job(step(4)))
         fleet = CrashingFleet(
             store,
@@ -89,4 +89,4 @@
         fleet.run(_LONG_ROUNDS)
         self.assertThat(store.jobs[JOB].phase, _FAILED)
         started = len(fleet.starts[key(0)])
-        self.assertThat(started, matchers.LessThan(_MOST_STARTS + 1))
+        self.assertThat(started, matchers.LessThan(_MAX_STARTS + 1))
--- a/tests/platform/test_session.py
+++ b/tests/platform/test_session.py
@@ -1,7 +1,7 @@
-"""Test what becomes of calls to the platform that get no answer.
+"""Test that calls to the platform reset their connection on a timeout.
 
-Answers cut links: bytes that a cut holds up arrive once it heals, also after
-their sender has given the call up, unless the connection is reset.
+Bytes that are held up by a network partition arrive once it heals, even if the
+sender has given up the call, unless the connection is reset.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 _TIMEOUT_S = 0.05
 
 
-async def _ending_of_a_call_without_answer() -> str:
-    """Return how a server sees the end of a call that it does not answer."""
+async def _connection_end_after_timeout() -> str:
+    """Return how the connection of an unanswered call ends for the server."""
     seen: asyncio.Future[str] = asyncio.get_running_loop().create_future()
 
-    async def silent(
+    async def read_until_end(
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
@@ -33,25 +33,25 @@
             seen.set_result('closed')
         writer.close()
 
-    server = await asyncio.start_server(silent, '127.0.0.1', 0)
+    server = await asyncio.start_server(read_until_end, '127.0.0.1', 0)
     host, port = server.sockets[0].getsockname()
     session = PlatformSession(f'{host}:{port}', _TIMEOUT_S, Logger('test'))
     try:
-        assert await session.post('/order', _decoded, {}) is None
+        assert await session.post('/order', _decode, {}) is None
         return await seen
     finally:
         await session.close()
         server.close()
 
 
-def _decoded(status: int, body: bytes) -> int:
+def _decode(status: int, body: bytes) -> int:
     return status + len(body)
 
 
-class TestUnanswered(testtools.TestCase):
-    """A call that is given up."""
+class TestTimeout(testtools.TestCase):
+    """A call that times out."""
 
     def test_connection_is_reset(self) -> None:
-        """So an order can't arrive after another leader has given one."""
-        ending = asyncio.run(_ending_of_a_call_without_answer())
+        """So that an order can't arrive after one of a later leader."""
+        ending = asyncio.run(_connection_end_after_timeout())
         self.assertThat(ending, matchers.Equals('reset'))
--- a/tests/wire/test_channel.py
+++ b/tests/wire/test_channel.py
@@ -1,4 +1,4 @@
-"""Test that messages arrive whole, however the stream is cut into pieces."""
+"""Test that messages are decoded however the stream is split into chunks."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from wigeonreach.wire import Channel
 from wigeonreach.wire._call_messages import CoreHello, CoreNotice
 
-_SENT = (
+_MESSAGES = (
     CoreHello('entry-1'),
     CoreNotice('core-1', ('core-1', 'core-2'), 7, 3),
     CoreHello('x' * 300),
@@ -27,12 +27,12 @@
     return Channel(reader, writer)
 
 
-async def _receive(pieces: list[bytes], count: int) -> list[object]:
+async def _receive(chunks: list[bytes], count: int) -> list[object]:
     reader = asyncio.StreamReader()
     channel = _channel(reader)
     waiting = asyncio.create_task(_receive_all(channel, count))
-    for piece in pieces:
-        reader.feed_data(piece)
+    for chunk in chunks:
+        reader.feed_data(chunk)
         await asyncio.sleep(0)
         await asyncio.sleep(0)
     return await waiting
@@ -43,26 +43,26 @@
 
 
 class TestChannel(testtools.TestCase):
-    """The receiving half."""
+    """The receiving side of a channel."""
 
-    def test_pieces_of_any_size(self) -> None:
-        """Byte by byte, all at once, and anything between."""
-        stream = b''.join(map(msgspec.msgpack.encode, _SENT))
+    def test_chunks_of_any_size(self) -> None:
+        """From single bytes to the whole stream at once."""
+        stream = b''.join(map(msgspec.msgpack.encode, _MESSAGES))
         for size in (1, 2, 7, 64, len(stream)):
-            pieces = [
+            chunks = [
                 stream[begin : begin + size]
                 for begin in range(0, len(stream), size)
             ]
-            received = asyncio.run(_receive(pieces, len(_SENT)))
-            self.assertThat(received, matchers.Equals(list(_SENT)))
+            received = asyncio.run(_receive(chunks, len(_MESSAGES)))
+            self.assertThat(received, matchers.Equals(list(_MESSAGES)))
 
-    def test_what_is_no_message(self) -> None:
-        """It is refused, whether it is well formed or not."""
-        for wrong in (b'\xc1', msgspec.msgpack.encode({'a': 1}), b'\x01'):
+    def test_invalid_message_is_rejected(self) -> None:
+        """Malformed msgpack and well-formed values that are no message."""
+        for invalid in (b'\xc1', msgspec.msgpack.encode({'a': 1}), b'\x01'):
             error = self.assertRaises(
                 WireError,
                 asyncio.run,
-                _receive([wrong], 1),
+                _receive([invalid], 1),
             )
             self.assertThat(
                 error.code,
