--- a/src/wigeonreach/platform/_advisor.py
+++ b/src/wigeonreach/platform/_advisor.py
@@ -1,4 +1,4 @@
-"""Client of the platform's advisor, which tells what workers may run a step."""
+"""Client of the advisor, the service that selects workers for a step."""
 
 from __future__ import annotations
 
--- a/src/wigeonreach/platform/_workers.py
+++ b/src/wigeonreach/platform/_workers.py
@@ -210,7 +210,7 @@
         sequence=heartbeat.sequence,
         is_draining=heartbeat.state == 'draining',
         drain_left_ms=int(heartbeat.remaining_ms),
-        cold_ms=int(heartbeat.cold_remaining_ms),
+        cold_remaining_ms=int(heartbeat.cold_remaining_ms),
         cpu_millicores=heartbeat.capacity.cpu,
         memory_mb=heartbeat.capacity.mem_mb,
         accelerators=heartbeat.capacity.gpu,
--- a/src/wigeonreach/wire/_raft_messages.py
+++ b/src/wigeonreach/wire/_raft_messages.py
@@ -138,7 +138,10 @@
 
 
 class ReadIndexReply(RaftMessage, frozen=True):
-    """Return the index that must be applied before the read is answered."""
+    """Return the index that must be applied before the read is answered.
+
+    ``index`` is negative if the leader could not determine it.
+    """
 
     request_id: int
     index: int
@@ -152,7 +155,7 @@
 
 
 class ProposalReply(RaftMessage, frozen=True):
-    """The state machine's reply, or a code telling that it is unknown."""
+    """The state machine's reply; ``code`` isn't 0 if the outcome is unknown."""
 
     request_id: int
     code: int
--- a/src/wigeonreach/wire/_worker_messages.py
+++ b/src/wigeonreach/wire/_worker_messages.py
@@ -90,7 +90,7 @@
         Increases with each heartbeat of one incarnation.
     drain_left_ms
         Minimum time that a draining worker has left.
-    cold_ms
+    cold_remaining_ms
         How much longer the worker stays slow after its start.
     clock_ms
         The worker's monotonic clock when it sent the heartbeat; None if not
@@ -105,7 +105,7 @@
     sequence: int
     is_draining: bool = False
     drain_left_ms: int = 0
-    cold_ms: int = 0
+    cold_remaining_ms: int = 0
     cpu_millicores: int = 0
     memory_mb: int = 0
     accelerators: int = 0
--- a/tests/platform/test_malformed_bodies.py
+++ b/tests/platform/test_malformed_bodies.py
@@ -90,7 +90,8 @@
         msgspec.msgpack.encode(decoded)
 
 
-# The decoders at the border of the system, for data from other programs.
+# Decoders of data from other programs.  The names used by the derandomized
+# test below stay as they are: its draws depend on its source.
 _BORDERS = (
     _DecoderCase(_decode_heartbeat, heartbeat(), RequestRefusedError),
     _DecoderCase(_decode_vm_page, vm_page(), UnreadableBodyError),
