--- a/src/wigeonreach/core/_call_handler.py
+++ b/src/wigeonreach/core/_call_handler.py
@@ -123,7 +123,7 @@
     def unauthorized(self, call: WorkspaceCall) -> Unauthorized:
         """Return the refusal of a call by its credential."""
         return Unauthorized(
-            *self.store.workspaces.why_denied(call.credential),
+            *self.store.workspaces.denial_reason(call.credential),
             self.store.manifest.version,
         )
 
--- a/src/wigeonreach/jobs/__init__.py
+++ b/src/wigeonreach/jobs/__init__.py
@@ -1,4 +1,4 @@
-"""Accept jobs once and keep what became of them."""
+"""Replicated state machine of jobs, the manifest and maintenance waves."""
 
 from wigeonreach.jobs._commands import (
     AddJob,
--- a/src/wigeonreach/jobs/_commands.py
+++ b/src/wigeonreach/jobs/_commands.py
@@ -1,4 +1,4 @@
-"""Define what is replicated about jobs, the manifest and waves."""
+"""Commands of the replicated state machine for jobs, manifest and waves."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 class Command(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """Base of all commands."""
+    """Base of all commands; the class name is the tag on the wire and on disk."""
 
 
 class SetManifest(Command, frozen=True):
-    """Put a manifest in force unless a higher version is."""
+    """Activate a manifest unless its version is not above the active one."""
 
     manifest: Manifest
 
@@ -27,9 +27,9 @@
     Attributes
     ----------
     accepted_ms
-        The leader's time of day; 0 if it isn't known.
+        The leader's wall clock time in milliseconds; 0 if unknown.
     credential
-        Stands for the workspace whose job it is.
+        Identifies the workspace that owns the job.
     """
 
     spec: JobSpec
@@ -39,13 +39,13 @@
 
 
 class CancelJob(Command, frozen=True):
-    """Let nothing more of a job start."""
+    """Cancel a job: no further run of it starts."""
 
     job_id: str
 
 
 class RunStarted(msgspec.Struct, frozen=True, array_like=True):
-    """A run that is about to be ordered from a worker, on the VM under it."""
+    """A run that is about to be sent to a worker, and the worker's VM."""
 
     task: TaskKey
     run: int
@@ -54,7 +54,7 @@
 
 
 class RunEnded(msgspec.Struct, frozen=True, array_like=True):
-    """How a run ended; ``checkpoint`` is the progress that it saved."""
+    """How a run ended; ``checkpoint`` is its saved progress, if any."""
 
     task: TaskKey
     run: int
@@ -64,16 +64,20 @@
 
 
 class CrashEvidence(enum.IntEnum):
-    """What speaks for it that a run brought its worker down.
+    """How strongly the loss of a worker suggests that a run crashed it.
 
-    ``SOUND`` speaks against it: the run had worked for long.  The others up to
-    ``ALONE`` speak for it, each more than the one before: the worker went down,
-    but perhaps after the run's lease, or with others for another cause; other
-    work was there that may be the cause as well; nothing else may be, but the
-    run had been at work; nothing else may be, and the run had just begun.
+    ``SOUND`` is evidence against it: the run had worked for a long time.  The
+    evidence for it grows from ``UNCERTAIN`` to ``ALONE``:
 
-    ``UNSETTLED`` is a run whose worker fell silent, until it is known why; then
-    another takes its place, or ``EXPLAINED`` if it was for another cause.
+    - ``UNCERTAIN``: the worker went down, but perhaps after the run's lease,
+      or together with other workers for another cause;
+    - ``BESIDE_OTHERS``: other work on the worker may be the cause as well;
+    - ``AT_WORK``: nothing else can be the cause, but the run had been working;
+    - ``ALONE``: nothing else can be the cause, and the run had just begun.
+
+    ``UNSETTLED`` means that the worker stopped responding and the cause is
+    still unknown.  Another value replaces it later: ``EXPLAINED`` if the cause
+    was unrelated to the run.
     """
 
     SOUND = 0
@@ -86,12 +90,12 @@
 
 
 class RunCrashed(msgspec.Struct, frozen=True, array_like=True):
-    """A run was on a worker that fell silent, and what that proves.
+    """A run whose worker stopped responding, and the evidence against it.
 
     Attributes
     ----------
     is_at_start
-        The worker was told to start it, and not heard any more.
+        Whether no heartbeat came after the worker was told to start the run.
     """
 
     task: TaskKey
@@ -101,13 +105,13 @@
 
 
 class BeginTerm(Command, frozen=True):
-    """Let only the records of this term's leader count from now on."""
+    """Reject records of the leaders of earlier terms from now on."""
 
     term: int
 
 
 class RecordRuns(Command, frozen=True):
-    """Note ends, crashes, then starts, as the leader of a term saw them."""
+    """Record ends, crashes, then starts, as seen by the leader of a term."""
 
     term: int
     ends: tuple[RunEnded, ...] = ()
@@ -116,18 +120,18 @@
 
 
 class ForgetJobs(Command, frozen=True):
-    """Drop jobs that ended long ago."""
+    """Delete jobs that ended and have no assigned runs."""
 
     job_ids: tuple[str, ...]
 
 
 class StartWave(Command, frozen=True):
-    """Have VMs maintained, at most ``limit`` of them at once.
+    """Start a maintenance wave over VMs, at most ``limit`` of them at once.
 
     Attributes
     ----------
     due_after_s
-        How long the operator gives, from when the wave is accepted.
+        Deadline in seconds, counted from when the wave is accepted.
     """
 
     wave: int
@@ -137,7 +141,7 @@
 
 
 class VmStep(enum.IntEnum):
-    """How far the maintenance of one VM of a wave is."""
+    """State of the maintenance of one VM of a wave."""
 
     WAITING = 0
     ORDERED = 1
@@ -146,9 +150,10 @@
 
 
 class RecordVmStep(Command, frozen=True):
-    """Note how far a VM of a wave is, as the leader of a term saw it.
+    """Record the maintenance state of a VM, as seen by the leader of a term.
 
-    ``worker`` is the incarnation that the order ends, when one is ordered.
+    ``worker`` is the worker incarnation that the order terminates; only given
+    for ``VmStep.ORDERED``.
     """
 
     term: int
@@ -159,17 +164,18 @@
 
 
 class RecordVmOrders(Command, frozen=True):
-    """Note that VMs are about to be ordered, as the leader of a term.
+    """Record orders that the leader of a term is about to send for VMs.
 
     Attributes
     ----------
     workers
-        For each of the VMs, the incarnation that its order ends, or nothing.
+        For each of the VMs, the worker incarnation that its order terminates,
+        or an empty string.
     settled
-        VMs whose last order was answered so long ago that any leader may give
-        them another.
+        VMs whose last order was answered so long ago that any leader may send
+        another.
     answered
-        VMs whose last order was answered just now.
+        VMs whose last order was answered since the previous record.
     """
 
     term: int
@@ -193,7 +199,7 @@
 
 
 class Verdict(enum.IntEnum):
-    """What became of a command."""
+    """Result of applying a command."""
 
     DONE = 0
     KNOWN = 1
@@ -205,9 +211,9 @@
 
 
 class CommandReply(msgspec.Struct, frozen=True, array_like=True):
-    """Reply to whoever proposed a command.
+    """Reply to the proposer of a command.
 
-    ``version`` is the manifest's version in force.
+    ``version`` is the version of the active manifest.
     """
 
     verdict: Verdict
@@ -215,10 +221,10 @@
 
 
 def encode_command(command: Command) -> bytes:
-    """Return the bytes that are replicated."""
+    """Serialize a command for replication."""
     return msgspec.msgpack.encode(command)
 
 
 def decode_reply(encoded: bytes) -> CommandReply:
-    """Return the reply that a replica gave."""
+    """Deserialize the reply that ``JobStore.apply`` returned."""
     return msgspec.msgpack.decode(encoded, type=CommandReply)
--- a/src/wigeonreach/jobs/_model.py
+++ b/src/wigeonreach/jobs/_model.py
@@ -1,4 +1,4 @@
-"""Describe jobs, their steps and the manifest of queues and services."""
+"""Data model of jobs, their steps and the manifest."""
 
 from __future__ import annotations
 
@@ -15,37 +15,37 @@
 
 
 class StepSpec(msgspec.Struct, frozen=True, array_like=True):
-    """One step of a job: tasks of the same shape.
+    """One step of a job: a number of tasks with equal requirements.
 
     Attributes
     ----------
     estimate_ms
-        Rough time of one task, as its team declared it; 0 if unknown.
+        Declared estimate of the run time of one task; 0 if unknown.
     after
-        Numbers of the earlier steps that must be done first.
+        Indexes of the earlier steps that must be done first.
     is_gang
-        All tasks of one run work together or not at all.
+        The tasks are scheduled as a gang: all of them run, or none.
     is_rack_local
         Tasks are slower if they run on more than one rack.
     label
-        What a worker must carry, or nothing.
+        Label that a worker must have; empty for any worker.
     data_rack
-        Where the data lies, or nothing.
+        Rack that stores the input data; empty if it does not matter.
     spread_limit
-        Most tasks of one occurrence on one worker; 0 for any number.
+        Maximum number of tasks of one occurrence on one worker; 0 for no limit.
     has_copies
-        Copies of a task may run side by side; the first end counts.
+        Copies of a task may run concurrently; the first to end counts.
     is_service
-        Tasks run until the job is cancelled and are restarted always.
+        Tasks run until the job is cancelled and are always restarted.
     image
-        Tasks of one image behave alike.
+        Tasks of the same image are expected to behave alike.
     latency_target_ms
-        The tail of a serving task must stay below this; 0 for none.
+        Upper bound of the tail latency of a serving task; 0 for none.
     is_filler
-        Its processors are what others leave, so they take no room.
+        Tasks use only spare processor time, so they reserve no processors.
     may_miss
-        Tasks of a serving step that this system may take away at once;
-        None if nothing is promised.
+        How many tasks of a serving step may be stopped at the same time;
+        None if there is no guarantee.
     """
 
     count: int
@@ -69,12 +69,12 @@
 
     @property
     def may_run_twice(self) -> bool:
-        """Whether two runs of a task may go on at a time."""
+        """Whether two runs of a task may be active concurrently."""
         return self.has_copies and not self.is_gang
 
     @property
     def room(self) -> Room:
-        """What one task takes of a worker."""
+        """Resources that one task reserves on a worker."""
         millicores = 0 if self.is_filler else self.cpu_millicores
         return Room(
             millicores / MILLICORES,
@@ -84,29 +84,30 @@
 
     @property
     def amounts(self) -> Amounts:
-        """What one task takes of its workspace's cap."""
+        """Resources of one task that count towards its workspace's cap."""
         millicores = 0 if self.is_filler else self.cpu_millicores
         return Amounts(millicores, self.memory_mb, self.accelerators)
 
     @property
     def least_start(self) -> Amounts:
-        """The least of it that can start: one task, or a whole gang."""
+        """Resources of the smallest startable unit: one task, or a gang."""
         return self.amounts.times(self.count if self.is_gang else 1)
 
 
 class JobSpec(msgspec.Struct, frozen=True, array_like=True):
-    """A job as its caller handed it in.
+    """A job as it was submitted.
 
     Attributes
     ----------
     payload
-        What each task is given; this system does not look into it.
+        Opaque text that is passed to each task.
     first_due_ms
-        When the first occurrence is due, since 1970; 0 for at once.
+        Unix time in milliseconds at which the first occurrence is due;
+        0 for immediately.
     interval_ms
-        Between two occurrences.
+        Time between two occurrences.
     occurrences
-        How often the steps run.
+        How many times the steps run.
     """
 
     job_id: str
@@ -118,16 +119,16 @@
 
     @property
     def is_serving(self) -> bool:
-        """Whether it has tasks that run until it is cancelled."""
+        """Whether any step runs until the job is cancelled."""
         return any(step.is_service for step in self.steps)
 
     @property
     def is_timed(self) -> bool:
-        """Whether its occurrences wait for a time of day."""
+        """Whether its occurrences start at a given wall clock time."""
         return self.first_due_ms > 0
 
     def due_ms(self, occurrence: int) -> int:
-        """Return when an occurrence is due, since 1970; 0 for at once."""
+        """Return the Unix time of an occurrence; 0 for immediately."""
         if not self.is_timed:
             return 0
         return self.first_due_ms + occurrence * self.interval_ms
@@ -142,23 +143,23 @@
     index: int
 
 
-# A task and the number of one of its runs.
+# A task and the number of one of its runs, counted from 1.
 Run = tuple[TaskKey, int]
 
 
 def task_name(key: TaskKey) -> str:
-    """Return JOB.OCCURRENCE.STEP.INDEX, for people."""
+    """Return a task as JOB.OCCURRENCE.STEP.INDEX, for logs."""
     return f'{key.job_id}.{key.occurrence}.{key.step}.{key.index}'
 
 
 def run_name(run: Run) -> str:
-    """Return TASK/RUN, for people."""
+    """Return a run as TASK/RUN, for logs."""
     key, number = run
     return f'{task_name(key)}/{number}'
 
 
 class AdvicePolicy(msgspec.Struct, frozen=True, array_like=True):
-    """How the advisor answers for a queue."""
+    """Timing of the advisor's answers for a queue."""
 
     decision_ms: int
     per_worker_ms: int
@@ -166,18 +167,19 @@
 
 
 class QueueSpec(msgspec.Struct, frozen=True, array_like=True):
-    """A queue: callers reach it by host and path, workers run its jobs.
+    """A queue: addressed by host and path prefix, served by one service.
 
     Attributes
     ----------
     priority
-        0 comes first.
+        0 is the highest priority.
     max_failures
-        A task that failed this often ends its job.
+        Number of failed runs of a task that ends its job.
     slack_factor
-        Times of the longest chain of work within which a job is of full use.
+        A job is worth its full value if it ends within this multiple of its
+        critical path plus ``target_latency_ms``.
     target_latency_ms
-        Added to that.
+        Constant part of that time.
     is_public
         Whether calls need no credential.
     """
@@ -201,9 +203,9 @@
     Attributes
     ----------
     guards_room
-        Its workers refuse what does not fit.
+        Whether its workers refuse tasks that exceed their free resources.
     is_standby
-        Its VMs are off and cost nothing.
+        Whether its VMs are powered off and cost nothing.
     """
 
     name: str
@@ -217,7 +219,7 @@
     Attributes
     ----------
     document
-        The operator's own text, given back on a read.
+        The text that the operator submitted, returned unchanged on a read.
     workspaces
         None if no call needs a credential.
     """
@@ -231,7 +233,7 @@
 
 
 class JobPhase(enum.IntEnum):
-    """Whether a job goes on, or how it ended."""
+    """Whether a job is active, or how it ended."""
 
     ACTIVE = 0
     COMPLETED = 1
@@ -240,9 +242,10 @@
 
 
 class TaskPhase(enum.IntEnum):
-    """Where a task is.
+    """State of a task.
 
-    ``GIVEN_UP`` is a task that can't be done beside others of its job that serve.
+    ``GIVEN_UP`` is a batch task that is not retried any more while its job
+    stays active for its serving tasks.
     """
 
     WAITING = 0
@@ -254,8 +257,8 @@
 class RunEnd(enum.IntEnum):
     """How a run of a task ended.
 
-    ``LOST`` is this system's own verdict: the worker can't run it any more.
-    ``REFUSED`` was never begun.
+    ``LOST`` is decided by the leader: the worker can't run it any more.
+    ``REFUSED`` means that the worker never began the run.
     """
 
     DONE = 0
--- a/src/wigeonreach/jobs/_queue_index.py
+++ b/src/wigeonreach/jobs/_queue_index.py
@@ -1,4 +1,4 @@
-"""Find queues and services of a manifest without looking at all of them."""
+"""Index of the queues of a manifest."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 
 
 class QueueIndex:
-    """The queues of one manifest, by name and by where callers reach them.
+    """The queues of one manifest, by name and by host and path prefix.
 
-    A manifest may hold thousands of queues, and each call, each order of a
-    start and each job that is looked at asks for one of them.
+    A manifest may hold thousands of queues, and a queue is looked up for each
+    call, each start of a run and each job that is examined.
 
     Parameters
     ----------
     manifest
-        Whose queues these are.
+        The manifest to index.
     """
 
     def __init__(self, manifest: Manifest) -> None:
-        """Sort the queues."""
+        """Build the index."""
         self._by_name = {queue.name: queue for queue in manifest.queues}
         self._by_host: dict[str, dict[str, QueueSpec]] = {}
         self._lengths: dict[str, list[int]] = {}
@@ -30,11 +30,11 @@
             self._lengths[host] = sorted(lengths, reverse=True)
 
     def named(self, name: str) -> QueueSpec | None:
-        """Return a queue by name."""
+        """Return the queue of this name."""
         return self._by_name.get(name)
 
     def at(self, host: str, path: str) -> QueueSpec | None:
-        """Return the queue whose prefix is the longest that a path has."""
+        """Return the queue with the longest prefix that matches a path."""
         by_prefix = self._by_host.get(host, {})
         for length in self._lengths.get(host, ()):
             queue = by_prefix.get(path[:length])
--- a/src/wigeonreach/jobs/_records.py
+++ b/src/wigeonreach/jobs/_records.py
@@ -1,4 +1,4 @@
-"""Keep what became of each job, step and task."""
+"""Replicated state of jobs and tasks."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
 
 class TaskCrash(msgspec.Struct, frozen=True, array_like=True):
-    """A run of a task whose worker fell silent, and what that proves.
+    """A run whose worker stopped responding, and the evidence against it.
 
     Attributes
     ----------
     is_at_start
-        The worker was not heard after it was told to start the run.
+        Whether no heartbeat came after the worker was told to start the run.
     """
 
     run: int
@@ -34,18 +34,18 @@
 
 
 class TaskRecord(msgspec.Struct, array_like=True):
-    """One task: where its newest run is and how earlier ones ended.
+    """One task: its newest run and the failures of earlier ones.
 
     Attributes
     ----------
     run
         Number of the newest run; 0 before the first.
     worker, vm
-        Which incarnation of a worker the newest run was given to, and the VM
-        under it, by which a next leader knows whether that worker crashed.
+        The worker incarnation that the newest run was assigned to, and its VM;
+        from the VM, the next leader can tell whether that worker crashed.
     crashes
-        Of the runs whose workers crashed under them, or may have, since one of
-        them worked for long.
+        Runs whose workers crashed or may have crashed, since the last run that
+        worked for a long time.
     """
 
     phase: TaskPhase = TaskPhase.WAITING
@@ -58,17 +58,17 @@
 
     @property
     def crash_count(self) -> int:
-        """How many crashes speak against it, with those that may have been some.
+        """Number of crashes held against the task, unexplained losses included.
 
-        One loss without an explanation is most often a worker that is cut off,
-        and speaks against nothing.
+        A single unexplained loss is not counted: most often the worker was cut
+        off from the network.
         """
-        marks = len(self.crashes)
+        count = len(self.crashes)
         is_certain = any(
-            mark.evidence is not CrashEvidence.UNSETTLED
-            for mark in self.crashes
+            crash.evidence is not CrashEvidence.UNSETTLED
+            for crash in self.crashes
         )
-        return marks if is_certain or marks > 1 else 0
+        return count if is_certain or count > 1 else 0
 
 
 class VmOrder(msgspec.Struct, array_like=True):
@@ -77,9 +77,10 @@
     Attributes
     ----------
     worker
-        The incarnation that it ends; nothing if none was known there.
+        The worker incarnation that it terminates; empty if none was known on
+        the VM.
     is_answered
-        Whether the platform said what became of it.
+        Whether the platform has replied to it.
     """
 
     worker: str = ''
@@ -90,21 +91,21 @@
 
 
 class JobRecord(msgspec.Struct, array_like=True):
-    """One job that was accepted.
+    """One accepted job.
 
     Attributes
     ----------
     queue
-        As it was when the job was accepted; it outlives the queue.
+        As it was when the job was accepted; kept if the queue is removed.
     occurrences
         For each occurrence, the tasks of each step.
     accepted_ms
-        When it was accepted, by the time of day of who led then; it may be
-        off, and is 0 if it isn't known.
+        Unix time of acceptance by the wall clock of the leader at that time;
+        it may be wrong, and is 0 if unknown.
     workspace
-        Whose job it is; nothing for one that was accepted from anybody.
-    cap_then
-        The cap of its workspace when it was accepted; it outlives the workspace.
+        Owner of the job; empty if it was accepted without a credential.
+    cap_at_acceptance
+        Cap of its workspace at acceptance, used once the workspace is removed.
     """
 
     spec: JobSpec
@@ -116,15 +117,15 @@
     )
     accepted_ms: float = 0
     workspace: str = ''
-    cap_then: Amounts = NO_AMOUNTS
+    cap_at_acceptance: Amounts = NO_AMOUNTS
 
     @property
     def is_active(self) -> bool:
-        """Whether tasks of it may start."""
+        """Whether its tasks may still start."""
         return self.phase is JobPhase.ACTIVE
 
     def task(self, key: TaskKey) -> TaskRecord | None:
-        """Return a task, or None if the job has no such one."""
+        """Return a task, or None if the job does not have it."""
         try:
             return self.occurrences[key.occurrence][key.step][key.index]
         except IndexError:
@@ -142,25 +143,25 @@
         )
 
     def step_spec(self, key: TaskKey) -> StepSpec:
-        """Return what a task's step asks for."""
+        """Return the specification of a task's step."""
         return self.spec.steps[key.step]
 
     def is_step_done(self, occurrence: int, step: int) -> bool:
-        """Whether all tasks of a step ended well."""
+        """Whether all tasks of a step are done."""
         return all(
             task.phase is TaskPhase.DONE
             for task in self.occurrences[occurrence][step]
         )
 
     def may_start(self, occurrence: int, step: int) -> bool:
-        """Whether all that a step waits for is done."""
+        """Whether all steps that a step depends on are done."""
         return all(
             self.is_step_done(occurrence, earlier)
             for earlier in self.spec.steps[step].after
         )
 
     def is_done(self) -> bool:
-        """Whether all tasks of all occurrences ended well."""
+        """Whether all tasks of all occurrences are done."""
         return all(
             self.is_step_done(occurrence, step)
             for occurrence in range(len(self.occurrences))
@@ -168,7 +169,7 @@
         )
 
     def assigned(self) -> Iterator[tuple[TaskKey, TaskRecord]]:
-        """Yield the tasks that a worker has, or may have."""
+        """Yield the tasks that are assigned to a worker."""
         for occurrence, _ in enumerate(self.occurrences):
             for key in tasks_of(self.spec, occurrence):
                 task = self.task(key)
@@ -182,7 +183,7 @@
     accepted_ms: float,
     workspace: WorkspaceSpec | None = None,
 ) -> JobRecord:
-    """Return a job of which nothing has started."""
+    """Return the record of a newly accepted job."""
     return JobRecord(
         spec,
         queue,
@@ -192,5 +193,5 @@
         ],
         accepted_ms=accepted_ms,
         workspace=workspace.name if workspace else '',
-        cap_then=workspace.cap if workspace else NO_AMOUNTS,
+        cap_at_acceptance=workspace.cap if workspace else NO_AMOUNTS,
     )
--- a/src/wigeonreach/jobs/_runs.py
+++ b/src/wigeonreach/jobs/_runs.py
@@ -1,4 +1,4 @@
-"""Change tasks as their runs start and end."""
+"""State transitions of tasks as their runs start, end and crash."""
 
 from __future__ import annotations
 
@@ -11,24 +11,25 @@
 from wigeonreach.jobs._model import JobPhase, RunEnd, TaskKey, TaskPhase
 from wigeonreach.jobs._records import JobRecord, TaskCrash, TaskRecord
 
-# What ends a task that crashes its workers.  It costs each time a VM for some
-# seconds and all that runs beside it, without end; a task that is given up wrongly
-# costs its team a job.  So only crashes count under which nothing else could be
-# the cause, several of them, as a worker may go down by itself beside them.
-_ALONE_AT_START = 2
-_CRASHES_WITH_THEM = 3
-_ALONE = 3
-# A worker that is not heard after a start may go down by itself in that moment, or
-# by another start; no sound task meets that so often.
-_AT_START = 5
-_PROVES_IT = frozenset((CrashEvidence.AT_WORK, CrashEvidence.ALONE))
-_OVER = frozenset((TaskPhase.DONE, TaskPhase.GIVEN_UP))
-# Whatever they prove, and also those that may have come after its lease.
-_MOST_CRASHES = 4
-
-
-def note_start(job: JobRecord, start: RunStarted) -> bool:
-    """Assign a task to a worker; tell whether it was free for it."""
+# Limits for giving up a task that crashes its workers.  Each crash costs a VM for
+# some seconds and all other runs on it, again and again; a task that is given up
+# wrongly costs its team a job.  So only crashes count that nothing else can have
+# caused, and several of them, as a worker may also go down by coincidence.
+# Early crashes are those with evidence ``ALONE``, soon after the run began.
+_EARLY_CRASH_LIMIT = 2
+_CRASH_LIMIT_WITH_EARLY = 3
+_CONCLUSIVE_CRASH_LIMIT = 3
+# A worker that sends no heartbeat after a start may have gone down by coincidence
+# or because of another start; a sound task does not meet that so often.
+_START_CRASH_LIMIT = 5
+_CONCLUSIVE = frozenset((CrashEvidence.AT_WORK, CrashEvidence.ALONE))
+_FINAL_PHASES = frozenset((TaskPhase.DONE, TaskPhase.GIVEN_UP))
+# Crashes of any evidence, including those that may have come after the lease.
+_MAX_CRASHES = 4
+
+
+def apply_run_start(job: JobRecord, start: RunStarted) -> bool:
+    """Assign a task to a worker; return whether the start was valid."""
     task = job.task(start.task)
     if task is None or not job.is_active:
         return False
@@ -42,116 +43,117 @@
     return True
 
 
-def note_end(job: JobRecord, ended: RunEnded) -> tuple[TaskKey, ...]:
-    """Take the end of a run.
+def apply_run_end(job: JobRecord, ended: RunEnded) -> tuple[TaskKey, ...]:
+    """Apply the end of a run to its task.
 
-    The end of an older run changes nothing: its task was reassigned, and only
-    the newest run counts.  A run that was given up as lost still counts if it
-    turns out to have ended well before another began, or beside another that
-    is a copy of it.
+    The end of an older run is ignored: its task was reassigned, and only the
+    newest run counts.  A run that was recorded as lost still counts if it is
+    reported as done before another run began, or if the newer run is a copy.
 
     Returns
     -------
     tuple of TaskKey
-        The tasks that are assigned no more.
+        The tasks that are no longer assigned.
     """
     task = job.task(ended.task)
-    if task is None or not _counts(job, task, ended):
+    if task is None or not _is_valid_end(job, task, ended):
         return ()
     if ended.checkpoint:
-        _save(job, ended)
+        _save_checkpoint(job, ended)
     if ended.end is RunEnd.DONE and not job.step_spec(ended.task).is_service:
-        return _finish(job, ended)
-    _release(job, ended, task)
+        return _finish_task(job, ended)
+    _requeue(job, ended, task)
     return (ended.task,)
 
 
-def note_crash(job: JobRecord, crashed: RunCrashed) -> bool:
-    """Take note of what became of a run's worker; tell what changed by it.
+def apply_run_crash(job: JobRecord, crashed: RunCrashed) -> bool:
+    """Apply the evidence from a lost worker; return whether the task changed.
 
-    Each run counts once.  It does not matter which run is the newest by now: a
-    crash is known for sure only once the VM has another worker, and the task may
-    have been started again before that.
+    Each run counts once, whether or not it is still the newest: a crash is
+    certain only once the VM has another worker, and the task may have been
+    started again before that.
     """
     task = job.task(crashed.task)
     if task is None:
         return False
     if crashed.evidence is CrashEvidence.EXPLAINED:
-        return _drop_mark(task, crashed.run)
-    if not job.is_active or task.phase in _OVER:
+        return _without_crash(task, crashed.run)
+    if not job.is_active or task.phase in _FINAL_PHASES:
         return False
     if crashed.evidence is CrashEvidence.SOUND:
         task.crashes = ()
         return True
-    crashes = _with_mark(task.crashes, crashed)
+    crashes = _with_crash(task.crashes, crashed)
     if crashes == task.crashes:
         return False
     task.crashes = crashes
     is_service = job.step_spec(crashed.task).is_service
-    if not is_service and _is_proved(task.crashes):
+    if not is_service and _is_proven_cause(task.crashes):
         _give_up(job, crashed.task)
     return True
 
 
-def _drop_mark(task: TaskRecord, run: int) -> bool:
-    """Hold a loss against a task no more; tell whether it was."""
+def _without_crash(task: TaskRecord, run: int) -> bool:
+    """Remove the crash of a run from its task; return whether there was one."""
     before = len(task.crashes)
-    task.crashes = tuple(mark for mark in task.crashes if mark.run != run)
+    task.crashes = tuple(crash for crash in task.crashes if crash.run != run)
     return len(task.crashes) < before
 
 
-def _with_mark(
+def _with_crash(
     crashes: tuple[TaskCrash, ...],
     crashed: RunCrashed,
 ) -> tuple[TaskCrash, ...]:
-    """Return the marks of a task with what is known of one of its runs now."""
-    others = tuple(mark for mark in crashes if mark.run != crashed.run)
+    """Return a task's crashes updated with the evidence for one run."""
+    others = tuple(crash for crash in crashes if crash.run != crashed.run)
     settled = [
-        mark
-        for mark in crashes
-        if mark.run == crashed.run
-        and mark.evidence is not CrashEvidence.UNSETTLED
+        crash
+        for crash in crashes
+        if crash.run == crashed.run
+        and crash.evidence is not CrashEvidence.UNSETTLED
     ]
     if settled:
         return crashes
-    mark = TaskCrash(crashed.run, crashed.evidence, crashed.is_at_start)
-    return (*others, mark)
+    crash = TaskCrash(crashed.run, crashed.evidence, crashed.is_at_start)
+    return (*others, crash)
 
 
 def _give_up(job: JobRecord, key: TaskKey) -> None:
-    """Start a task no more, and end its job unless others of it serve.
+    """Stop retrying a task, and fail its job unless it has serving tasks.
 
-    Nothing but its cancelling ends a job with tasks that serve.
+    A job with serving tasks ends only when it is cancelled.
     """
     if not job.spec.is_serving:
         job.phase = JobPhase.FAILED
         return
-    for member in members(job, key):
+    for member in gang_of(job, key):
         task = job.task(member)
         if task is not None:
             task.phase = TaskPhase.GIVEN_UP
 
 
-def _is_proved(crashes: tuple[TaskCrash, ...]) -> bool:
-    """Whether it is a task that brings its workers down."""
-    alone = sum(mark.evidence in _PROVES_IT for mark in crashes)
-    alone_at_start = sum(
-        mark.evidence is CrashEvidence.ALONE for mark in crashes
+def _is_proven_cause(crashes: tuple[TaskCrash, ...]) -> bool:
+    """Whether the crashes prove that the task brings its workers down."""
+    conclusive = sum(crash.evidence in _CONCLUSIVE for crash in crashes)
+    early = sum(crash.evidence is CrashEvidence.ALONE for crash in crashes)
+    at_start = sum(crash.is_at_start for crash in crashes)
+    is_early_cause = (
+        early >= _EARLY_CRASH_LIMIT and len(crashes) >= _CRASH_LIMIT_WITH_EARLY
     )
-    at_start = sum(mark.is_at_start for mark in crashes)
-    is_at_once = (
-        alone_at_start >= _ALONE_AT_START and len(crashes) >= _CRASHES_WITH_THEM
+    return (
+        is_early_cause
+        or conclusive >= _CONCLUSIVE_CRASH_LIMIT
+        or at_start >= _START_CRASH_LIMIT
     )
-    return is_at_once or alone >= _ALONE or at_start >= _AT_START
 
 
-def _counts(job: JobRecord, task: TaskRecord, ended: RunEnded) -> bool:
+def _is_valid_end(job: JobRecord, task: TaskRecord, ended: RunEnded) -> bool:
     if _is_first_copy(job, task, ended):
         return True
     if task.run != ended.run or task.worker != ended.worker:
         return False
     if task.phase is TaskPhase.WAITING:
-        # A gang ends well together; one that lost a member did not.
+        # A gang that lost a member has to run again as a whole.
         is_gang = job.step_spec(ended.task).is_gang
         return ended.end is RunEnd.DONE and not is_gang
     return task.phase is TaskPhase.ASSIGNED
@@ -162,28 +164,28 @@
     task: TaskRecord,
     ended: RunEnded,
 ) -> bool:
-    """Whether a run ended well before the newer copy of it did."""
+    """Whether a run is done before the newer copy of it is."""
     may_run_twice = job.step_spec(ended.task).may_run_twice
-    is_older = ended.run < task.run and task.phase not in _OVER
+    is_older = ended.run < task.run and task.phase not in _FINAL_PHASES
     return may_run_twice and is_older and ended.end is RunEnd.DONE
 
 
-def members(job: JobRecord, key: TaskKey) -> tuple[TaskKey, ...]:
-    """Return a task's whole gang, or the task alone."""
+def gang_of(job: JobRecord, key: TaskKey) -> tuple[TaskKey, ...]:
+    """Return all tasks of a task's gang, or only the task without a gang."""
     return job.step_keys(key) if job.step_spec(key).is_gang else (key,)
 
 
-def _save(job: JobRecord, ended: RunEnded) -> None:
-    # The progress of one member of a gang is that of all.
-    for key in members(job, ended.task):
+def _save_checkpoint(job: JobRecord, ended: RunEnded) -> None:
+    # All members of a gang share one checkpoint.
+    for key in gang_of(job, ended.task):
         member = job.task(key)
         if member is not None:
             member.checkpoint = ended.checkpoint
 
 
-def _finish(job: JobRecord, ended: RunEnded) -> tuple[TaskKey, ...]:
-    # One member's good end stands for all of its gang.
-    finished = members(job, ended.task)
+def _finish_task(job: JobRecord, ended: RunEnded) -> tuple[TaskKey, ...]:
+    # A gang is done as soon as one member reports that it is.
+    finished = gang_of(job, ended.task)
     for key in finished:
         member = job.task(key)
         if member is not None:
@@ -194,7 +196,7 @@
     return finished
 
 
-def _release(job: JobRecord, ended: RunEnded, task: TaskRecord) -> None:
+def _requeue(job: JobRecord, ended: RunEnded, task: TaskRecord) -> None:
     task.phase = TaskPhase.WAITING
     step = job.step_spec(ended.task)
     if ended.end is not RunEnd.FAILED or step.is_service:
--- a/src/wigeonreach/jobs/_store.py
+++ b/src/wigeonreach/jobs/_store.py
@@ -1,4 +1,4 @@
-"""Replicate the manifest, the jobs and the waves."""
+"""Replicated state machine of the manifest, the jobs and the waves."""
 
 from __future__ import annotations
 
@@ -52,23 +52,23 @@
     fits_cap,
 )
 
-_NOTHING: Mapping[TaskKey, int] = MappingProxyType({})
-_COMMANDS = msgspec.msgpack.Decoder(AnyCommand)
+_NO_RUNS: Mapping[TaskKey, int] = MappingProxyType({})
+_COMMAND_DECODER = msgspec.msgpack.Decoder(AnyCommand)
 
 
-class _Stored(msgspec.Struct, array_like=True):
-    """What a snapshot holds."""
+class _Snapshot(msgspec.Struct, array_like=True):
+    """Content of a snapshot."""
 
     term: int
     manifest: Manifest
     jobs: list[JobRecord]
     waves: list[WaveRecord]
-    # Of snapshots that tell no more of orders than their VMs.
+    # Only filled in older snapshots, which list the VMs without their orders.
     ordered_vms: list[str] = msgspec.field(default_factory=list)
     vm_orders: dict[str, VmOrder] = msgspec.field(default_factory=dict)
 
 
-_SNAPSHOTS = msgspec.msgpack.Decoder(_Stored)
+_SNAPSHOT_DECODER = msgspec.msgpack.Decoder(_Snapshot)
 
 
 class JobStore:
@@ -77,28 +77,28 @@
     Attributes
     ----------
     term
-        Of the leader whose records of runs count.
+        Term of the leader whose records are accepted.
     jobs
-        All jobs whose state may still be asked for.
+        All jobs whose state may still be queried, by job ID.
     assigned
         For each worker, the runs that it has or may have.
     changed
-        Jobs that changed since a reader last cleared this.
+        Jobs that changed since a reader last cleared this set.
     reassigned
-        Workers whose runs changed since a reader last cleared this.
+        Workers whose runs changed since a reader last cleared this set.
     vm_orders
-        By VM, what some leader has ordered lately, or was about to.
+        By VM, the newest order that a leader has sent or was about to send.
     newly_ordered, newly_answered
-        Those among them that were ordered, and those whose order was answered,
-        since a reader last cleared these.
+        VMs for which an order, or the reply to one, was recorded since a
+        reader last cleared these sets.
     queues, workspaces
-        Find the queues and the workspaces of the manifest.
+        Indexes of the queues and the workspaces of the manifest.
     use
-        What each workspace has on workers, or may have.
+        Resources that each workspace uses, or may use, on workers.
     """
 
     def __init__(self) -> None:
-        """Start with nothing accepted."""
+        """Create an empty state."""
         self.manifest = Manifest(version=0)
         self.queues = QueueIndex(self.manifest)
         self.workspaces = WorkspaceIndex()
@@ -114,13 +114,13 @@
         self.term = 0
 
     def apply(self, index: int, command: bytes) -> bytes:
-        """Carry out a committed command."""
-        reply = _on(_COMMANDS.decode(command), self)
+        """Apply a committed command and return its serialized reply."""
+        reply = _apply_command(_COMMAND_DECODER.decode(command), self)
         return msgspec.msgpack.encode(reply)
 
     def snapshot(self) -> bytes:
-        """Return the whole state."""
-        stored = _Stored(
+        """Serialize the whole state."""
+        stored = _Snapshot(
             self.term,
             self.manifest,
             list(self.jobs.values()),
@@ -130,8 +130,8 @@
         return msgspec.msgpack.encode(stored)
 
     def restore(self, snapshot: bytes) -> None:
-        """Replace the state by one that ``snapshot`` returned."""
-        stored = _SNAPSHOTS.decode(snapshot)
+        """Replace the state with one that ``snapshot`` returned."""
+        stored = _SNAPSHOT_DECODER.decode(snapshot)
         self.term = stored.term
         self.put_manifest(stored.manifest)
         self.jobs = {job.spec.job_id: job for job in stored.jobs}
@@ -143,32 +143,33 @@
             for key, task in job.assigned():
                 self.assign(task.worker, key, task.run)
         self.changed = set(self.jobs)
-        self.note_ordered(dict.fromkeys(stored.ordered_vms, ''))
+        self.record_vm_orders(dict.fromkeys(stored.ordered_vms, ''))
         for vm, order in stored.vm_orders.items():
-            self.note_ordered({vm: order.worker})
+            self.record_vm_orders({vm: order.worker})
             self.vm_orders[vm] = order
 
     def put_manifest(self, manifest: Manifest) -> None:
-        """Put a manifest in force."""
+        """Activate a manifest and rebuild its indexes."""
         self.manifest = manifest
         self.queues = QueueIndex(manifest)
         self.workspaces = WorkspaceIndex(manifest.workspaces, self.workspaces)
 
-    def note_ordered(self, workers: Mapping[str, str]) -> None:
-        """Note that VMs have been ordered, or are about to be.
+    def record_vm_orders(self, workers: Mapping[str, str]) -> None:
+        """Record orders that are about to be sent for VMs.
 
         Parameters
         ----------
         workers
-            By VM, the incarnation that its order ends, or nothing.
+            By VM, the worker incarnation that its order terminates, or an
+            empty string.
         """
         for vm, worker in workers.items():
             self.newly_ordered.add(vm)
             self.newly_answered.discard(vm)
             self.vm_orders[vm] = VmOrder(worker)
 
-    def note_answered(self, vms: Iterable[str]) -> None:
-        """Note that the newest orders of VMs were answered."""
+    def record_vm_answers(self, vms: Iterable[str]) -> None:
+        """Record that the platform replied to the newest orders of VMs."""
         for vm in vms:
             self.newly_answered.add(vm)
             order = self.vm_orders.get(vm)
@@ -176,12 +177,12 @@
                 order.is_answered = True
 
     def service_of(self, job: JobRecord) -> str:
-        """Return the service whose workers may run a job now."""
+        """Return the service whose workers currently run a job's queue."""
         queue = self.queues.named(job.queue.name)
         return queue.service if queue else job.queue.service
 
     def names_service(self, service: str) -> bool:
-        """Whether the manifest names a service, or there is none yet."""
+        """Whether the manifest has a service; true without a manifest."""
         named = {spec.name for spec in self.manifest.services}
         return not self.manifest.version or service in named
 
@@ -190,40 +191,40 @@
         return self.jobs.get(key.job_id)
 
     def task_of(self, key: TaskKey) -> TaskRecord | None:
-        """Return a task, if a job has it."""
+        """Return a task, or None if no job has it."""
         job = self.jobs.get(key.job_id)
         return job.task(key) if job else None
 
     def held_by(self, worker: str) -> Mapping[TaskKey, int]:
         """Return the runs that a worker has or may have."""
-        return self.assigned.get(worker, _NOTHING)
+        return self.assigned.get(worker, _NO_RUNS)
 
     def spec_of(self, key: TaskKey) -> StepSpec | None:
-        """Return what a task's step asks for, if a job has such a task."""
+        """Return the specification of a task's step, or None if unknown."""
         job = self.jobs.get(key.job_id)
         if job is None or job.task(key) is None:
             return None
         return job.step_spec(key)
 
     def is_serving(self, key: TaskKey) -> bool:
-        """Whether a task runs until its job is cancelled."""
+        """Whether a task is known and runs until its job is cancelled."""
         spec = self.spec_of(key)
         return spec is not None and spec.is_service
 
     def is_batch(self, key: TaskKey) -> bool:
-        """Whether a task is known and ends by itself."""
+        """Whether a task is known and ends on its own."""
         spec = self.spec_of(key)
         return spec is not None and not spec.is_service
 
     def may_run_twice(self, key: TaskKey) -> bool:
-        """Whether two runs of a task may go on at a time."""
+        """Whether two runs of a task may be active concurrently."""
         spec = self.spec_of(key)
         return spec is not None and spec.may_run_twice
 
     def cap_of(self, job: JobRecord) -> Amounts:
-        """Return the cap in force for a job's workspace."""
+        """Return the current cap of a job's workspace."""
         workspace = self.workspaces.named(job.workspace)
-        return workspace.cap if workspace else job.cap_then
+        return workspace.cap if workspace else job.cap_at_acceptance
 
     def is_under_cap(
         self,
@@ -231,14 +232,14 @@
         step: StepSpec,
         besides: Amounts = NO_AMOUNTS,
     ) -> bool:
-        """Whether the cap of a job's workspace lets a task or a gang start.
+        """Whether the cap of a job's workspace allows a task or gang to start.
 
         Parameters
         ----------
         job, step
-            Whose task it is, or which gang.
+            The job and the step of the task or gang.
         besides
-            What else the workspace may have running.
+            Resources to add to what the workspace already uses.
         """
         if not job.workspace:
             return True
@@ -247,7 +248,7 @@
         return fits_cap(cap, used, step.least_start, step.amounts)
 
     def assign(self, worker: str, key: TaskKey, run: int) -> None:
-        """Note that a worker has, or may have, a run."""
+        """Assign a run to a worker and count its resources."""
         held = self.assigned.setdefault(worker, {})
         job = self.jobs.get(key.job_id)
         if job is not None and key not in held:
@@ -256,7 +257,7 @@
         self.reassigned.add(worker)
 
     def unassign(self, worker: str, key: TaskKey) -> None:
-        """Note that a worker has a run no more."""
+        """Remove a task from a worker and release its resources."""
         held = self.assigned.get(worker)
         if held is not None:
             job = self.jobs.get(key.job_id)
@@ -268,26 +269,27 @@
 
 
 @functools.singledispatch
-def _on(command: object, store: JobStore) -> CommandReply:
+def _apply_command(command: object, store: JobStore) -> CommandReply:
     raise TypeError(type(command).__name__)
 
 
-@_on.register
-def _on_manifest(command: SetManifest, store: JobStore) -> CommandReply:
+@_apply_command.register
+def _apply_set_manifest(command: SetManifest, store: JobStore) -> CommandReply:
     if command.manifest.version > store.manifest.version:
         store.put_manifest(command.manifest)
         store.changed.update(store.jobs)
     return CommandReply(Verdict.DONE, store.manifest.version)
 
 
-@_on.register
-def _on_add(command: AddJob, store: JobStore) -> CommandReply:
+@_apply_command.register
+def _apply_add_job(command: AddJob, store: JobStore) -> CommandReply:
     known = store.jobs.get(command.spec.job_id)
     queue = store.queues.named(command.queue)
     if queue is None:
         return CommandReply(Verdict.KNOWN if known else Verdict.NO_QUEUE)
-    # Here and not only where the call arrived: of a job and the manifest that
-    # withdraws its credential, the log alone says which came first.
+    # Checked again when the command is applied, not only when the call arrives:
+    # only the log order decides whether a job came before the manifest that
+    # withdraws its credential.
     caller = store.workspaces.caller(command.credential, queue.is_public)
     if caller is None:
         return CommandReply(Verdict.UNAUTHORIZED)
@@ -305,8 +307,8 @@
     return CommandReply(Verdict.DONE)
 
 
-@_on.register
-def _on_cancel(command: CancelJob, store: JobStore) -> CommandReply:
+@_apply_command.register
+def _apply_cancel_job(command: CancelJob, store: JobStore) -> CommandReply:
     job = store.jobs.get(command.job_id)
     if job is None:
         return CommandReply(Verdict.UNKNOWN)
@@ -316,62 +318,62 @@
     return CommandReply(Verdict.DONE)
 
 
-@_on.register
-def _on_term(command: BeginTerm, store: JobStore) -> CommandReply:
+@_apply_command.register
+def _apply_begin_term(command: BeginTerm, store: JobStore) -> CommandReply:
     store.term = max(store.term, command.term)
     return CommandReply(Verdict.DONE)
 
 
-@_on.register
-def _on_runs(command: RecordRuns, store: JobStore) -> CommandReply:
+@_apply_command.register
+def _apply_record_runs(command: RecordRuns, store: JobStore) -> CommandReply:
     if command.term != store.term:
-        # A former leader's view of its workers counts no more.
+        # Records of former leaders are rejected.
         return CommandReply(Verdict.OUTDATED)
     for ended in command.ends:
-        _note_end(store, ended)
+        _apply_run_end(store, ended)
     for crashed in command.crashes:
-        _note_crash(store, crashed)
-    _note_starts(store, command.starts)
+        _apply_run_crash(store, crashed)
+    _apply_run_starts(store, command.starts)
     return CommandReply(Verdict.DONE)
 
 
-def _note_end(store: JobStore, ended: RunEnded) -> None:
+def _apply_run_end(store: JobStore, ended: RunEnded) -> None:
     job = store.job_of(ended.task)
     if job is None or job.task(ended.task) is None:
-        # A worker tells of what no job has.
+        # A worker may report tasks that do not exist.
         return
-    held = [(key, job.task(key)) for key in runs.members(job, ended.task)]
+    held = [(key, job.task(key)) for key in runs.gang_of(job, ended.task)]
     workers = {key: task.worker for key, task in held if task is not None}
-    for key in runs.note_end(job, ended):
+    for key in runs.apply_run_end(job, ended):
         store.unassign(workers[key], key)
         store.changed.add(key.job_id)
-    _release_given_up(store, job, ended.task)
+    _unassign_given_up(store, job, ended.task)
 
 
-def _note_crash(store: JobStore, crashed: RunCrashed) -> None:
+def _apply_run_crash(store: JobStore, crashed: RunCrashed) -> None:
     job = store.job_of(crashed.task)
-    if job is not None and runs.note_crash(job, crashed):
+    if job is not None and runs.apply_run_crash(job, crashed):
         store.changed.add(crashed.task.job_id)
-        _release_given_up(store, job, crashed.task)
+        _unassign_given_up(store, job, crashed.task)
 
 
-def _release_given_up(store: JobStore, job: JobRecord, key: TaskKey) -> None:
-    """Let workers stop what was given up while its job goes on."""
-    for member in runs.members(job, key):
+def _unassign_given_up(store: JobStore, job: JobRecord, key: TaskKey) -> None:
+    """Unassign given up tasks of an active job, so that workers stop them."""
+    for member in runs.gang_of(job, key):
         task = job.task(member)
         if task is not None and task.phase is TaskPhase.GIVEN_UP:
             store.unassign(task.worker, member)
 
 
-def _note_starts(store: JobStore, starts: Iterable[RunStarted]) -> None:
-    """Assign tasks, as far as the caps of their workspaces let them start.
+def _apply_run_starts(store: JobStore, starts: Iterable[RunStarted]) -> None:
+    """Assign tasks as far as the caps of their workspaces allow.
 
-    Whoever decided them looked at the caps too, but may not have known all that
-    was recorded since.  A gang starts whole or not at all.
+    The scheduler also checks the caps, but may not have seen the newest records.
+    A gang starts as a whole or not at all.
     """
     groups = itertools.groupby(
         starts,
-        key=lambda start: _started_with(store, start.task),
+        key=lambda start: _start_group(store, start.task),
     )
     for _, members in groups:
         together = tuple(members)
@@ -380,24 +382,26 @@
             continue
         if store.is_under_cap(job, job.step_spec(together[0].task)):
             for start in together:
-                _note_start(store, job, start)
+                _apply_run_start(store, job, start)
 
 
-def _started_with(store: JobStore, key: TaskKey) -> TaskKey:
-    """Return what stands for all that starts with a task: it, or its gang."""
+def _start_group(store: JobStore, key: TaskKey) -> TaskKey:
+    """Return the key of a task's start group: the task, or its gang."""
     spec = store.spec_of(key)
     is_gang = spec is not None and spec.is_gang
     return msgspec.structs.replace(key, index=0) if is_gang else key
 
 
-def _note_start(store: JobStore, job: JobRecord, start: RunStarted) -> None:
-    if runs.note_start(job, start):
+def _apply_run_start(
+    store: JobStore, job: JobRecord, start: RunStarted
+) -> None:
+    if runs.apply_run_start(job, start):
         store.assign(start.worker, start.task, start.run)
         store.changed.add(start.task.job_id)
 
 
-@_on.register
-def _on_forget(command: ForgetJobs, store: JobStore) -> CommandReply:
+@_apply_command.register
+def _apply_forget_jobs(command: ForgetJobs, store: JobStore) -> CommandReply:
     for job_id in command.job_ids:
         job = store.jobs.get(job_id)
         if job is not None and not job.is_active and not any(job.assigned()):
@@ -406,35 +410,35 @@
     return CommandReply(Verdict.DONE)
 
 
-@_on.register
-def _on_wave(command: StartWave, store: JobStore) -> CommandReply:
+@_apply_command.register
+def _apply_start_wave(command: StartWave, store: JobStore) -> CommandReply:
     if command.wave in store.waves:
         return CommandReply(Verdict.KNOWN)
     store.waves[command.wave] = waves.new_wave(command)
     return CommandReply(Verdict.DONE)
 
 
-@_on.register
-def _on_vm_step(command: RecordVmStep, store: JobStore) -> CommandReply:
+@_apply_command.register
+def _apply_vm_step(command: RecordVmStep, store: JobStore) -> CommandReply:
     wave = store.waves.get(command.wave)
     if command.term != store.term:
         return CommandReply(Verdict.OUTDATED)
     if wave is None:
         return CommandReply(Verdict.UNKNOWN)
-    waves.note_step(wave, command)
+    waves.apply_vm_step(wave, command)
     if command.step is VmStep.ORDERED:
-        store.note_ordered({command.vm: command.worker})
+        store.record_vm_orders({command.vm: command.worker})
     return CommandReply(Verdict.DONE)
 
 
-@_on.register
-def _on_vm_orders(command: RecordVmOrders, store: JobStore) -> CommandReply:
+@_apply_command.register
+def _apply_vm_orders(command: RecordVmOrders, store: JobStore) -> CommandReply:
     if command.term != store.term:
         return CommandReply(Verdict.OUTDATED)
     for settled in command.settled:
         store.vm_orders.pop(settled, None)
         store.newly_ordered.discard(settled)
-    store.note_answered(command.answered)
+    store.record_vm_answers(command.answered)
     workers = itertools.zip_longest(command.vms, command.workers, fillvalue='')
-    store.note_ordered(dict(workers))
+    store.record_vm_orders(dict(workers))
     return CommandReply(Verdict.DONE)
--- a/src/wigeonreach/jobs/_waves.py
+++ b/src/wigeonreach/jobs/_waves.py
@@ -1,4 +1,4 @@
-"""Keep how far each wave is."""
+"""Replicated state of maintenance waves."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 from wigeonreach.jobs._commands import RecordVmStep, StartWave, VmStep
 
-_ENDED = frozenset((VmStep.DONE, VmStep.GONE))
+_FINAL_STEPS = frozenset((VmStep.DONE, VmStep.GONE))
 
 
 class VmProgress(msgspec.Struct, array_like=True):
-    """One VM of a wave; ``worker`` is the incarnation that its order ends."""
+    """State of one VM; ``worker`` is the incarnation its order terminates."""
 
     step: VmStep = VmStep.WAITING
     worker: str = ''
 
 
 class WaveRecord(msgspec.Struct, array_like=True):
-    """A wave that was accepted."""
+    """An accepted wave and the state of each of its VMs."""
 
     wave: int
     due_after_s: float
@@ -26,22 +26,22 @@
 
     @property
     def is_done(self) -> bool:
-        """Whether each VM was maintained, or is there no more."""
-        return all(vm.step in _ENDED for vm in self.vms.values())
+        """Whether each VM was maintained or no longer exists."""
+        return all(vm.step in _FINAL_STEPS for vm in self.vms.values())
 
     @property
     def left(self) -> int:
-        """How many VMs are not maintained yet."""
-        return sum(vm.step not in _ENDED for vm in self.vms.values())
+        """How many VMs are not finished yet."""
+        return sum(vm.step not in _FINAL_STEPS for vm in self.vms.values())
 
     @property
     def ordered(self) -> int:
-        """How many VMs are, or may be, down for this wave."""
+        """How many VMs are, or may be, down because of this wave."""
         return sum(vm.step is VmStep.ORDERED for vm in self.vms.values())
 
 
 def new_wave(command: StartWave) -> WaveRecord:
-    """Return a wave in which nothing was done yet."""
+    """Return a wave whose VMs are all waiting."""
     return WaveRecord(
         command.wave,
         command.due_after_s,
@@ -50,8 +50,8 @@
     )
 
 
-def note_step(wave: WaveRecord, command: RecordVmStep) -> None:
-    """Note how far a VM is; a step is never taken back."""
+def apply_vm_step(wave: WaveRecord, command: RecordVmStep) -> None:
+    """Advance the state of a VM; it never goes back to an earlier step."""
     progress = wave.vms.get(command.vm)
     if progress is None or command.step <= progress.step:
         return
--- a/src/wigeonreach/workspaces/__init__.py
+++ b/src/wigeonreach/workspaces/__init__.py
@@ -1,4 +1,4 @@
-"""Know workspaces by their credentials, and what each may have running."""
+"""Workspaces: their credentials, caps and resource use."""
 
 from wigeonreach.workspaces._amounts import NO_AMOUNTS, Amounts
 from wigeonreach.workspaces._caps import fits_cap
--- a/src/wigeonreach/workspaces/_amounts.py
+++ b/src/wigeonreach/workspaces/_amounts.py
@@ -1,4 +1,4 @@
-"""Count processors, memory and accelerators exactly."""
+"""Exact amounts of processors, memory and accelerators."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 
 class Amounts(msgspec.Struct, frozen=True, array_like=True):
-    """What tasks take, in whole units: sums of it never drift."""
+    """Resources of tasks in integer units, so that sums do not drift."""
 
     millicores: int = 0
     memory_mb: int = 0
     accelerators: int = 0
 
     def __add__(self, other: Amounts) -> Amounts:
-        """Return both together."""
+        """Return the sum."""
         return Amounts(
             self.millicores + other.millicores,
             self.memory_mb + other.memory_mb,
@@ -21,7 +21,7 @@
         )
 
     def __sub__(self, other: Amounts) -> Amounts:
-        """Return what is left."""
+        """Return the difference."""
         return Amounts(
             self.millicores - other.millicores,
             self.memory_mb - other.memory_mb,
@@ -29,7 +29,7 @@
         )
 
     def times(self, count: int) -> Amounts:
-        """Return it so many times."""
+        """Return the amounts multiplied by a count."""
         return Amounts(
             self.millicores * count,
             self.memory_mb * count,
--- a/src/wigeonreach/workspaces/_caps.py
+++ b/src/wigeonreach/workspaces/_caps.py
@@ -1,4 +1,4 @@
-"""Tell whether a workspace's cap lets something start."""
+"""Check starts against the cap of a workspace."""
 
 from __future__ import annotations
 
@@ -15,32 +15,33 @@
 ) -> bool:
     """Whether a start keeps a workspace within its cap.
 
-    What is left of a cap may be too little for ever for a task that is larger than
-    half of it.  While less than half is used, one task may go beyond it.
+    A task larger than half of the cap could otherwise wait forever, as the free
+    part may never be large enough.  So while less than half of the cap is used,
+    a start may exceed the cap by up to one task.
 
     Parameters
     ----------
     cap
-        Of the workspace; 0 for no limit.
+        Cap of the workspace; 0 for no limit.
     used
-        What it has running, or may have.
+        Resources that the workspace uses, or may use.
     need
-        What would start.
+        Resources of the start.
     one_task
-        One task of it.
+        Resources of one task of the start.
     """
-    told = (cap, used, need, one_task)
-    limits = list(zip(*map(msgspec.structs.astuple, told), strict=True))
-    if all(_is_within(*limit) for limit in limits):
+    amounts = (cap, used, need, one_task)
+    limits = list(zip(*map(msgspec.structs.astuple, amounts), strict=True))
+    if all(_fits_exactly(*limit) for limit in limits):
         return True
-    return all(_is_half_free(*limit) for limit in limits)
+    return all(_fits_with_overshoot(*limit) for limit in limits)
 
 
-def _is_within(most: int, has: int, more: int, one_task: int) -> bool:
-    return not most or not more or has + more <= most
+def _fits_exactly(cap: int, used: int, need: int, one_task: int) -> bool:
+    return not cap or not need or used + need <= cap
 
 
-def _is_half_free(most: int, has: int, more: int, one_task: int) -> bool:
-    if not most or not more:
+def _fits_with_overshoot(cap: int, used: int, need: int, one_task: int) -> bool:
+    if not cap or not need:
         return True
-    return has * 2 < most and has + more <= most + one_task
+    return used * 2 < cap and used + need <= cap + one_task
--- a/src/wigeonreach/workspaces/_index.py
+++ b/src/wigeonreach/workspaces/_index.py
@@ -1,4 +1,4 @@
-"""Find the workspace that a call is of."""
+"""Index of workspaces by name and credential."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from wigeonreach.workspaces._credentials import Credential
 from wigeonreach.workspaces._model import WorkspaceSpec
 
-# Withdrawn credentials that are remembered, so that a refusal can be told from
-# one of a stranger.
-_MOST_WITHDRAWN = 4096
+# Withdrawn credentials are remembered, up to this number, so that a denial can
+# distinguish a withdrawn credential from an unknown one.
+_MAX_WITHDRAWN = 4096
 
 
 class Denial(enum.StrEnum):
-    """Why a credential stands for no workspace."""
+    """Why a credential identifies no workspace."""
 
     MISSING = 'no-credential'
     UNKNOWN = 'unknown-credential'
@@ -27,9 +27,9 @@
     Parameters
     ----------
     workspaces
-        All of them; None if no call needs a credential.
+        All workspaces; None if no call needs a credential.
     before
-        Whose withdrawn credentials stay known.
+        The previous index, whose credentials are remembered as withdrawn.
     """
 
     def __init__(
@@ -37,7 +37,7 @@
         workspaces: Iterable[WorkspaceSpec] | None = None,
         before: WorkspaceIndex | None = None,
     ) -> None:
-        """Sort the workspaces."""
+        """Build the index."""
         self.asks_credentials = workspaces is not None
         self._by_name = {spec.name: spec for spec in workspaces or ()}
         self._owners = {
@@ -47,39 +47,39 @@
         }
         self._withdrawn: dict[Credential, str] = {}
         if before is not None:
-            self._keep_withdrawn(before.owners)
+            self._remember_withdrawn(before.owners)
 
     @property
     def owners(self) -> Mapping[Credential, str]:
-        """Workspace names by credential, the withdrawn ones among them."""
+        """Workspace names by credential, including withdrawn credentials."""
         return {**self._withdrawn, **self._owners}
 
     def named(self, name: str) -> WorkspaceSpec | None:
-        """Return a workspace by name."""
+        """Return the workspace of this name."""
         return self._by_name.get(name)
 
     def caller(self, credential: Credential, is_public: bool) -> str | None:
-        """Return whose call it is.
+        """Return the name of the workspace that makes a call.
 
         Parameters
         ----------
         credential
-            That came with it, or nothing.
+            Credential of the call; empty if it has none.
         is_public
-            Whether its queue takes calls from anybody.
+            Whether the queue of the call needs no credential.
 
         Returns
         -------
         str or None
-            Nothing for a call that needs no credential; None for one whose
-            credential stands for no workspace.
+            Empty for a call without a known credential where none is needed;
+            None if one is needed and it identifies no workspace.
         """
         if is_public or not self.asks_credentials:
             return self._owners.get(credential, '')
         return self._owners.get(credential)
 
-    def why_denied(self, credential: Credential) -> tuple[Denial, str]:
-        """Return why a credential is refused, and whose it was."""
+    def denial_reason(self, credential: Credential) -> tuple[Denial, str]:
+        """Return why a credential is denied, and its former workspace."""
         if not credential:
             return Denial.MISSING, ''
         former = self._withdrawn.get(credential)
@@ -87,10 +87,10 @@
             return Denial.UNKNOWN, ''
         return Denial.WITHDRAWN, former
 
-    def _keep_withdrawn(self, before: Mapping[Credential, str]) -> None:
+    def _remember_withdrawn(self, before: Mapping[Credential, str]) -> None:
         gone = [
             (credential, name)
             for credential, name in before.items()
             if credential not in self._owners
         ]
-        self._withdrawn = dict(gone[-_MOST_WITHDRAWN:])
+        self._withdrawn = dict(gone[-_MAX_WITHDRAWN:])
--- a/src/wigeonreach/workspaces/_model.py
+++ b/src/wigeonreach/workspaces/_model.py
@@ -1,4 +1,4 @@
-"""Describe a workspace."""
+"""Data model of a workspace."""
 
 from __future__ import annotations
 
@@ -9,16 +9,17 @@
 
 
 class WorkspaceSpec(msgspec.Struct, frozen=True, array_like=True):
-    """Whoever shares API keys, a share of the workers and a cap.
+    """A workspace: shared API keys, a share of the workers and a cap.
 
     Attributes
     ----------
     credentials
-        Any of them stands for it.
+        Any of them identifies the workspace.
     weight
-        Its share when all is full, and the jobs a second that it is owed.
+        Its share when all workers are busy, and the rate in jobs per second
+        that it is entitled to.
     cap
-        What it may have running over all workers; 0 for no limit.
+        Limit of the resources it uses on all workers; 0 for no limit.
     """
 
     name: str
--- a/src/wigeonreach/workspaces/_use_book.py
+++ b/src/wigeonreach/workspaces/_use_book.py
@@ -1,4 +1,4 @@
-"""Keep what each workspace has running."""
+"""Resource use of each workspace."""
 
 from __future__ import annotations
 
@@ -8,36 +8,37 @@
 
 
 class UseBook:
-    """The sum of what the tasks of each workspace take.
+    """Sums of the resources that the tasks of each workspace use.
 
-    It is kept by changes, so that a start costs no walk over what runs.
+    The sums are updated incrementally, so that a start does not have to iterate
+    over all running tasks.
     """
 
     def __init__(self) -> None:
-        """Have nothing running."""
+        """Start with no resources in use."""
         self._used: dict[str, Amounts] = {}
 
     @property
     def by_workspace(self) -> Mapping[str, Amounts]:
-        """What each workspace with anything has."""
+        """Resources in use, for each workspace that uses any."""
         return self._used
 
     def used(self, workspace: str) -> Amounts:
-        """Return what a workspace has."""
+        """Return the resources that a workspace uses."""
         return self._used.get(workspace, NO_AMOUNTS)
 
     def add(self, workspace: str, need: Amounts) -> None:
-        """Count a task in; one of no workspace is not counted."""
+        """Add a task; one without a workspace is not counted."""
         if workspace:
             self._set(workspace, self.used(workspace) + need)
 
     def remove(self, workspace: str, need: Amounts) -> None:
-        """Count a task out."""
+        """Remove a task; one without a workspace is not counted."""
         if workspace:
             self._set(workspace, self.used(workspace) - need)
 
     def clear(self) -> None:
-        """Count nothing."""
+        """Reset all sums."""
         self._used.clear()
 
     def _set(self, workspace: str, amounts: Amounts) -> None:
--- a/tests/jobs/test_crashes.py
+++ b/tests/jobs/test_crashes.py
@@ -1,4 +1,4 @@
-"""Test when the crashes of its workers end a job, and what is kept of them."""
+"""Test when crashes of workers fail a job, and how they are stored."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 _UNCERTAIN = CrashEvidence.UNCERTAIN
 _SOUND = CrashEvidence.SOUND
 _UNSETTLED = CrashEvidence.UNSETTLED
-# Series of crashes, and whether the last of them ends the job.
+# Sequences of crashes, and whether the last of them fails the job.
 _SERIES = (
     ((_ALONE,), False),
     ((_ALONE, _ALONE), False),
@@ -86,21 +86,21 @@
     return record
 
 
-class TestGivenUp(testtools.TestCase):
-    """After how many crashes a task ends its job."""
+class TestGivingUpTasks(testtools.TestCase):
+    """After which crashes a task is given up."""
 
-    def test_job_ends_by_what_its_crashes_prove(self) -> None:
-        """A step that ends by itself."""
-        for series, is_given_up in _SERIES:
+    def test_crashes_fail_the_job_if_conclusive(self) -> None:
+        """Checked for all sequences on a job of one batch task."""
+        for series, is_failed in _SERIES:
             store = store_with(job(step()))
             for run, evidence in enumerate(series, start=1):
                 _crash(store, run, evidence)
             phase = store.jobs[JOB].phase
-            expected = JobPhase.FAILED if is_given_up else JobPhase.ACTIVE
+            expected = JobPhase.FAILED if is_failed else JobPhase.ACTIVE
             self.assertThat(phase, matchers.Equals(expected), str(series))
 
-    def test_task_is_not_started_beyond_what_it_may(self) -> None:
-        """Whatever else was there, so often it crashes its workers itself."""
+    def test_crashes_at_start_fail_the_job_at_the_limit(self) -> None:
+        """Many crashes at a start count, even if none is conclusive alone."""
         for evidence in (_BESIDE, _UNCERTAIN, _UNSETTLED):
             store = store_with(job(step()))
             for run in range(1, MOST_STARTS + 1):
@@ -110,8 +110,8 @@
             phase = store.jobs[JOB].phase
             self.assertThat(phase, matchers.Equals(JobPhase.FAILED))
 
-    def test_no_crash_ends_a_job_that_serves(self) -> None:
-        """Nothing but its cancelling does, whatever its crashes prove."""
+    def test_serving_job_is_never_failed_by_crashes(self) -> None:
+        """Only a cancellation ends it, whatever the crashes prove."""
         for series, _ in _SERIES:
             store = store_with(job(serving_step()))
             for run, evidence in enumerate(series, start=1):
@@ -120,16 +120,16 @@
             active = matchers.Equals(JobPhase.ACTIVE)
             self.assertThat(phase, active, str(series))
 
-    def test_run_counts_once(self) -> None:
-        """A leader that got no answer records the same again."""
+    def test_crash_of_a_run_counts_once(self) -> None:
+        """A leader without a reply may record the same crash again."""
         store = store_with(job(step()))
         for _ in range(5):
             _crash(store, 1, _ALONE)
         self.assertThat(_record(store).crashes, matchers.HasLength(1))
         self.assertThat(store.jobs[JOB].phase, matchers.Equals(JobPhase.ACTIVE))
 
-    def test_loss_without_an_explanation_counts_until_it_has_one(self) -> None:
-        """It is known from the moment of the loss on, and taken back then."""
+    def test_unsettled_losses_count_until_explained(self) -> None:
+        """An explained loss is removed, and a settled crash stays settled."""
         store = store_with(job(step()))
         _crash(store, 1, CrashEvidence.UNSETTLED)
         _crash(store, 2, CrashEvidence.UNSETTLED)
@@ -141,20 +141,20 @@
         _crash(store, 2, _ALONE)
         _crash(store, 2, CrashEvidence.UNSETTLED)
         self.assertThat(
-            [mark.evidence for mark in _record(store).crashes],
+            [crash.evidence for crash in _record(store).crashes],
             matchers.Equals([_ALONE]),
         )
         self.assertThat(_record(store).crash_count, matchers.Equals(1))
 
-    def test_tasks_of_a_step_count_apart(self) -> None:
-        """Two tasks that lost one worker each are no task that lost two."""
+    def test_crashes_are_counted_per_task(self) -> None:
+        """Crashes of two tasks of a step are not added up."""
         store = store_with(job(step(2)))
         both = tuple(RunCrashed(key(index), 1, _ALONE) for index in range(2))
         commit(store, RecordRuns(TERM, crashes=both))
         self.assertThat(store.jobs[JOB].phase, matchers.Equals(JobPhase.ACTIVE))
 
-    def test_task_that_is_done_is_not_given_up(self) -> None:
-        """A copy of it, or its end before the crash, was told meanwhile."""
+    def test_done_task_is_not_given_up(self) -> None:
+        """Its end, or that of a copy, may be reported before the crash."""
         store = store_with(job(step(2)))
         _start(store, 1)
         ended = RunEnded(key(), 1, 'w1', RunEnd.DONE)
@@ -165,7 +165,7 @@
         self.assertThat(store.jobs[JOB].phase, matchers.Equals(JobPhase.ACTIVE))
 
     def test_cancelled_job_stays_cancelled(self) -> None:
-        """What is known of its tasks later changes nothing."""
+        """Later crashes of its tasks do not change its phase."""
         store = store_with(job(step()))
         commit(store, CancelJob(JOB))
         for run in (1, 2, 3, 4):
@@ -173,15 +173,15 @@
         phase = store.jobs[JOB].phase
         self.assertThat(phase, matchers.Equals(JobPhase.CANCELLED))
 
-    def test_former_leader_records_no_crash(self) -> None:
-        """Its view of workers counts no more."""
+    def test_crash_from_former_leader_is_rejected(self) -> None:
+        """Its records carry an older term."""
         store = store_with(job(step()))
         crashed = RunCrashed(key(), 1, _ALONE)
         commit(store, RecordRuns(TERM - 1, crashes=(crashed,)))
         self.assertThat(_record(store).crashes, matchers.HasLength(0))
 
-    def test_crash_counts_though_another_run_has_begun(self) -> None:
-        """A VM may be back only after its task was started elsewhere."""
+    def test_crash_counts_after_a_newer_run_started(self) -> None:
+        """A VM may come back after its task was started elsewhere."""
         store = store_with(job(step()))
         _start(store, 1)
         _lose(store, 1)
@@ -193,10 +193,10 @@
 
 
 class TestSnapshots(testtools.TestCase):
-    """What a process that restarts knows of crashes."""
+    """Crashes in snapshots."""
 
     def test_snapshot_keeps_crashes_and_vms(self) -> None:
-        """It counts on from there."""
+        """The restored store continues to count."""
         store = store_with(job(step()))
         _start(store, 1, vm='vm7')
         _crash(store, 1, _BESIDE)
@@ -209,8 +209,8 @@
         phase = restored.jobs[JOB].phase
         self.assertThat(phase, matchers.Equals(JobPhase.FAILED))
 
-    def test_record_of_before_has_no_crash(self) -> None:
-        """Snapshots and logs that tell of none are read as they were."""
+    def test_older_record_without_crashes_is_read(self) -> None:
+        """Records of older versions decode with default values."""
         before = msgspec.msgpack.encode((1, 2, 'w2', 1, 'saved'))
         record = msgspec.msgpack.decode(before, type=TaskRecord)
         self.assertThat(record.crashes, matchers.Equals(()))
--- a/tests/jobs/test_store.py
+++ b/tests/jobs/test_store.py
@@ -1,4 +1,4 @@
-"""Test that the store keeps each job once and each run apart."""
+"""Test the replicated state of jobs and runs."""
 
 from __future__ import annotations
 
@@ -55,10 +55,10 @@
 
 
 class TestJobs(testtools.TestCase):
-    """Jobs as they are accepted, cancelled and forgotten."""
+    """Accepting, cancelling and deleting jobs."""
 
-    def test_same_id_is_the_same_job(self) -> None:
-        """A job that is handed in again changes nothing."""
+    def test_resubmitted_job_is_known(self) -> None:
+        """A job ID that was accepted before does not change the job."""
         store = store_with(job(step(2)))
         _start(store)
         verdict = commit(store, AddJob(job(step(5)), QUEUE))
@@ -68,23 +68,23 @@
             matchers.Equals(2),
         )
 
-    def test_dropped_queue_takes_no_job(self) -> None:
-        """A manifest that overtook a submission refuses it."""
+    def test_removed_queue_rejects_a_job(self) -> None:
+        """A manifest may be applied before a job that was submitted earlier."""
         store = store_with()
         commit(store, SetManifest(manifest(queue('other'), version=2)))
         verdict = commit(store, AddJob(job(), QUEUE))
         self.assertThat(verdict, matchers.Equals(Verdict.NO_QUEUE))
         self.assertThat(store.jobs, matchers.HasLength(0))
 
-    def test_cancelled_job_starts_nothing(self) -> None:
-        """A start that was decided before the cancellation is void."""
+    def test_start_for_cancelled_job_is_ignored(self) -> None:
+        """The start may have been decided before the cancellation."""
         store = store_with(job())
         commit(store, CancelJob(JOB))
         _start(store)
         self.assertThat(store.assigned, matchers.HasLength(0))
 
-    def test_running_job_is_not_forgotten(self) -> None:
-        """Jobs are dropped once they ended and nothing is left of them."""
+    def test_job_with_assigned_runs_is_not_deleted(self) -> None:
+        """A job is deleted only once it ended and has no assigned runs."""
         store = store_with(job())
         _start(store)
         commit(store, CancelJob(JOB))
@@ -98,8 +98,8 @@
 class TestManifests(testtools.TestCase):
     """Versions of the manifest."""
 
-    def test_highest_version_stays(self) -> None:
-        """An older or equal one is taken note of and changes nothing."""
+    def test_highest_manifest_version_stays(self) -> None:
+        """An older or equal version does not replace it."""
         store = store_with()
         commit(store, SetManifest(manifest(queue('new'), version=5)))
         for version in (4, 5):
@@ -110,7 +110,7 @@
         )
 
     def test_longest_prefix_wins(self) -> None:
-        """A path belongs to the queue with the longest prefix."""
+        """A path belongs to the queue with the longest matching prefix."""
         short = queue('short', path_prefix='/a/')
         long = queue('long', path_prefix='/a/b/')
         index = QueueIndex(manifest(short, long))
@@ -128,8 +128,8 @@
 class TestRuns(testtools.TestCase):
     """Runs of tasks and how they end."""
 
-    def test_all_tasks_done_complete_a_job(self) -> None:
-        """A job is completed by its last task, not before."""
+    def test_job_completes_with_its_last_task(self) -> None:
+        """It stays active until all of its tasks are done."""
         store = store_with(job(step(2)))
         for index in range(2):
             self.assertThat(
@@ -143,8 +143,8 @@
             matchers.Equals(JobPhase.COMPLETED),
         )
 
-    def test_late_end_of_an_older_run_is_void(self) -> None:
-        """Only the newest run counts, once a task was reassigned."""
+    def test_end_of_an_older_run_is_ignored(self) -> None:
+        """Once a task is reassigned, only its newest run counts."""
         store = store_with(job())
         _start(store)
         _end(store, RunEnd.LOST)
@@ -155,8 +155,8 @@
             matchers.Equals([TaskPhase.ASSIGNED]),
         )
 
-    def test_late_good_end_of_a_lost_run_counts_until_the_next(self) -> None:
-        """What was done is not done again just because word of it was late."""
+    def test_late_success_of_a_lost_run_counts(self) -> None:
+        """The task is not run again if the report was only late."""
         store = store_with(job())
         _start(store)
         _end(store, RunEnd.LOST)
@@ -167,8 +167,8 @@
         )
         self.assertThat(store.assigned, matchers.HasLength(0))
 
-    def test_late_bad_end_of_a_lost_run_is_void(self) -> None:
-        """A lost run is no failure of its task, whatever comes later."""
+    def test_late_failure_of_a_lost_run_is_ignored(self) -> None:
+        """A lost run never counts as a failure of its task."""
         store = store_with(job())
         _start(store)
         _end(store, RunEnd.LOST)
@@ -176,8 +176,8 @@
             _end(store, RunEnd.FAILED)
         self.assertThat(store.jobs[JOB].phase, matchers.Equals(JobPhase.ACTIVE))
 
-    def test_late_good_end_of_a_lost_member_is_void(self) -> None:
-        """A gang that lost a member did not end well together."""
+    def test_late_success_of_a_lost_gang_member_is_ignored(self) -> None:
+        """A gang that lost a member has to run again as a whole."""
         store = store_with(job(step(2, is_gang=True)))
         for index in range(2):
             _start(store, index)
@@ -186,7 +186,7 @@
         self.assertThat(store.jobs[JOB].phase, matchers.Equals(JobPhase.ACTIVE))
 
     def test_only_failed_runs_count_as_failures(self) -> None:
-        """A job fails after so many failed runs, not after lost ones."""
+        """Lost, stopped and refused runs do not count towards the limit."""
         store = store_with(job())
         ends = (RunEnd.LOST, RunEnd.FAILED, RunEnd.STOPPED, RunEnd.REFUSED)
         for run, how in enumerate(ends, start=1):
@@ -197,8 +197,8 @@
         _end(store, RunEnd.FAILED, run=len(ends) + 1)
         self.assertThat(store.jobs[JOB].phase, matchers.Equals(JobPhase.FAILED))
 
-    def test_serving_task_waits_again_however_it_ends(self) -> None:
-        """It has no limit of failures and is never done."""
+    def test_serving_task_is_requeued_after_any_end(self) -> None:
+        """It has no failure limit and is never done."""
         store = store_with(job(serving_step(1)))
         ends = (RunEnd.DONE, RunEnd.FAILED, RunEnd.FAILED, RunEnd.FAILED)
         for run, how in enumerate(ends, start=1):
@@ -211,8 +211,8 @@
             matchers.Equals([TaskPhase.WAITING]),
         )
 
-    def test_one_good_end_stands_for_its_gang(self) -> None:
-        """All members are done with it, and off their workers."""
+    def test_success_of_one_member_completes_its_gang(self) -> None:
+        """All members are done and unassigned."""
         store = store_with(job(step(3, is_gang=True)))
         for index in range(3):
             _start(store, index)
@@ -223,8 +223,8 @@
         )
         self.assertThat(store.assigned, matchers.HasLength(0))
 
-    def test_progress_of_one_member_is_that_of_its_gang(self) -> None:
-        """All members start again with the same checkpoint."""
+    def test_gang_members_share_a_checkpoint(self) -> None:
+        """All members restart from the same checkpoint."""
         store = store_with(job(step(2, is_gang=True)))
         for index in range(2):
             _start(store, index)
@@ -234,32 +234,32 @@
             matchers.Equals(['saved', 'saved']),
         )
 
-    def test_former_leaders_records_are_void(self) -> None:
-        """What a leader of an older term proposes late changes nothing."""
+    def test_records_of_former_leader_are_rejected(self) -> None:
+        """A late proposal of a leader of an older term has no effect."""
         store = store_with(job())
         commit(store, BeginTerm(TERM + 1))
         _start(store)
         self.assertThat(store.assigned, matchers.HasLength(0))
 
 
-class TestStrangeTasks(testtools.TestCase):
-    """Tasks that a worker tells of and no job has."""
+class TestUnknownTasks(testtools.TestCase):
+    """Tasks that a worker reports but no job has."""
 
-    def test_end_of_a_task_that_no_job_has_changes_nothing(self) -> None:
-        """A replica must not stumble over what a worker made up."""
+    def test_end_of_an_unknown_task_is_ignored(self) -> None:
+        """A replica must not fail on a task key that a worker made up."""
         store = store_with(job())
         before = store.snapshot()
-        for strange in (key(7), key(0, 7), key(0, 0, '00000000000000ff')):
-            ended = RunEnded(strange, 1, _WORKER, RunEnd.DONE)
+        for unknown in (key(7), key(0, 7), key(0, 0, '00000000000000ff')):
+            ended = RunEnded(unknown, 1, _WORKER, RunEnd.DONE)
             commit(store, RecordRuns(TERM, ends=(ended,)))
         self.assertThat(store.snapshot(), matchers.Equals(before))
 
 
 class TestSnapshots(testtools.TestCase):
-    """Whole states."""
+    """Snapshots of the whole state."""
 
     def test_restored_state_is_the_same(self) -> None:
-        """A replica that got a snapshot goes on where the others are."""
+        """A restored replica behaves as the one the snapshot is from."""
         store = store_with(job(step(2)))
         _start(store)
         other = JobStore()
--- a/tests/jobs/test_vm_orders.py
+++ b/tests/jobs/test_vm_orders.py
@@ -1,4 +1,4 @@
-"""Test what is replicated of orders for VMs."""
+"""Test the replicated state of orders for VMs."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
         self.assertThat(restored.vm_orders, matchers.Equals(store.vm_orders))
         return restored.vm_orders
 
-    def test_order_names_the_worker_that_it_ends(self) -> None:
-        """A worker that comes afterwards is another matter."""
+    def test_order_records_the_worker_it_terminates(self) -> None:
+        """It is empty for a VM without a known worker."""
         store = store_with()
         record = RecordVmOrders(TERM, ('vm1', 'vm2'), workers=('w1',))
         commit(store, record)
@@ -30,7 +30,7 @@
         self.assertThat(self._orders(store), matchers.Equals(expected))
 
     def test_answer_is_kept_until_the_next_order(self) -> None:
-        """What was answered is on its way no more."""
+        """A new order is unanswered again, and a settled one is removed."""
         store = store_with()
         commit(store, RecordVmOrders(TERM, ('vm1',), workers=('w1',)))
         commit(store, RecordVmOrders(TERM, (), answered=('vm1',)))
@@ -42,8 +42,8 @@
         commit(store, RecordVmOrders(TERM, (), settled=('vm1',)))
         self.assertThat(self._orders(store), matchers.Equals({}))
 
-    def test_snapshot_that_tells_no_more_than_vms_is_read(self) -> None:
-        """It was taken by a process of before."""
+    def test_older_snapshot_with_vms_only_is_read(self) -> None:
+        """It was written by an older version."""
         before = (TERM, manifest(), (), (), ('vm1',))
         store = JobStore()
         store.restore(msgspec.msgpack.encode(before))
