--- a/src/wigeonreach/gateway/__init__.py
+++ b/src/wigeonreach/gateway/__init__.py
@@ -1,4 +1,4 @@
-"""Reach the leading core process from anywhere."""
+"""Client that routes calls to the leader of the core processes."""
 
 from wigeonreach.gateway._gateway import Gateway
 
--- a/src/wigeonreach/gateway/_denials.py
+++ b/src/wigeonreach/gateway/_denials.py
@@ -1,7 +1,7 @@
-"""Refuse again what the leader has just refused, without asking it.
+"""Cache of the leader's denials of credentials.
 
-Answers strangers that call over and over: each of their calls would cost the leader a
-round that proves its lead.
+Callers with an unknown credential may retry endlessly, and the leader would need
+a quorum round to confirm its leadership for each of their calls.
 """
 
 from __future__ import annotations
@@ -17,45 +17,45 @@
 from wigeonreach.wire._call_replies import AnyReply, Unauthorized
 from wigeonreach.workspaces import Credential
 
-# Far more than there are callers with a wrong key at a time.
-_MOST_KEPT = 4096
+# Far more entries than there are callers with a wrong key at any time.
+_MAX_ENTRIES = 4096
 
-# Who called, and where: the host and what stands before a job's id.
-_Caller = tuple[Credential, str, str]
+# The credential, the host and the path without the job ID.
+_CallerKey = tuple[Credential, str, str]
 
 
-class Denials:
-    """Refusals by credential, under one version of the manifest."""
+class DenialCache:
+    """Denials by caller, for one version of the manifest."""
 
     def __init__(self) -> None:
-        """Know no refusal."""
+        """Start with an empty cache."""
         self._version = 0
-        self._kept: collections.OrderedDict[_Caller, Unauthorized] = (
+        self._denials: collections.OrderedDict[_CallerKey, Unauthorized] = (
             collections.OrderedDict()
         )
 
-    def note(self, call: AnyCall, reply: AnyReply) -> None:
-        """Keep a refusal that the leader gave."""
-        caller = _caller_of(call)
-        if caller is None or not isinstance(reply, Unauthorized):
+    def add(self, call: AnyCall, reply: AnyReply) -> None:
+        """Store the leader's reply to a call if it is a denial."""
+        key = _caller_key(call)
+        if key is None or not isinstance(reply, Unauthorized):
             return
         if reply.version > self._version:
-            self._kept.clear()
+            self._denials.clear()
             self._version = reply.version
         if reply.version == self._version:
-            self._kept[caller] = reply
-            if len(self._kept) > _MOST_KEPT:
-                self._kept.popitem(last=False)
+            self._denials[key] = reply
+            if len(self._denials) > _MAX_ENTRIES:
+                self._denials.popitem(last=False)
 
     def find(self, call: AnyCall, version: int) -> Unauthorized | None:
-        """Return the refusal of a call, if it holds under a version."""
-        caller = _caller_of(call)
-        if caller is None or version != self._version:
+        """Return the denial of a call if it is valid for a version."""
+        key = _caller_key(call)
+        if key is None or version != self._version:
             return None
-        return self._kept.get(caller)
+        return self._denials.get(key)
 
 
-def _caller_of(call: AnyCall) -> _Caller | None:
+def _caller_key(call: AnyCall) -> _CallerKey | None:
     if isinstance(call, (CancelJobCall, ReadJob, SubmitJob)):
         return call.credential, call.host, call.path.rpartition('/')[0]
     return None
--- a/src/wigeonreach/gateway/_link.py
+++ b/src/wigeonreach/gateway/_link.py
@@ -1,4 +1,4 @@
-"""Keep one channel to one core process."""
+"""Connection to one core process."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
 )
 from wigeonreach.wire._call_replies import AnyReply
 
-# Core processes tell several times a second who leads, so a channel on which
-# nothing comes for longer has gone silent.
-_SILENCE_S = 1.2
+# Core processes send a notice several times a second, so a channel that receives
+# nothing for this long is considered broken.
+_IDLE_TIMEOUT_S = 1.2
 _CONNECT_TIMEOUT_S = 0.6
-_FIRST_RETRY_S = 0.1
-_LONGEST_RETRY_S = 1.0
+_MIN_BACKOFF_S = 0.1
+_MAX_BACKOFF_S = 1.0
 
 
 class CoreLink(mode.Service):
-    """One channel, opened again whenever it breaks.
+    """A channel to a core process that reconnects whenever it breaks.
 
     Parameters
     ----------
@@ -40,7 +40,7 @@
     process
         Name of this process.
     on_change
-        Called when the channel opens or closes, or tells something new.
+        Called when the link opens or closes, or a notice has changed.
     logger
         Where events are logged.
     """
@@ -52,22 +52,22 @@
         on_change: Callable[[], None],
         logger: Logger,
     ) -> None:
-        """Connect once started."""
+        """Prepare; the connection is opened on start."""
         super().__init__()
         self.core = core
         self.notice: CoreNotice | None = None
-        self.noticed_s = float('-inf')
+        self.notice_received_s = float('-inf')
         self._process = process
         self._on_change = on_change
         self._log = logger
         self._channel: Channel | None = None
-        self._numbers = itertools.count(1)
-        self._waiting: dict[int, asyncio.Future[AnyReply | None]] = {}
+        self._call_numbers = itertools.count(1)
+        self._pending: dict[int, asyncio.Future[AnyReply | None]] = {}
         self._failures = 0
 
     @property
     def is_open(self) -> bool:
-        """Whether the core process is heard."""
+        """Whether the channel is open and a notice was received on it."""
         return self._channel is not None and self.notice is not None
 
     async def call(
@@ -76,19 +76,28 @@
         hops_left: int,
         timeout_s: float,
     ) -> AnyReply | None:
-        """Make a call.
+        """Send a call and wait for its reply.
+
+        Parameters
+        ----------
+        call
+            The call to make.
+        hops_left
+            How many times it may be forwarded.
+        timeout_s
+            How long to wait for the reply, in seconds.
 
         Returns
         -------
         AnyReply or None
-            None if no reply came: the call may have had its effect.
+            None without a reply; the call may still have had an effect.
         """
         channel = self._channel
         if channel is None:
             return None
-        number = next(self._numbers)
+        number = next(self._call_numbers)
         reply: asyncio.Future[AnyReply | None] = asyncio.Future()
-        self._waiting[number] = reply
+        self._pending[number] = reply
         channel.post(CallRequest(number, hops_left, call))
         try:
             async with asyncio.timeout(timeout_s):
@@ -96,7 +105,7 @@
         except TimeoutError:
             return None
         finally:
-            self._waiting.pop(number, None)
+            self._pending.pop(number, None)
 
     @mode.Service.task
     async def _run(self) -> None:
@@ -107,11 +116,11 @@
                     _CONNECT_TIMEOUT_S,
                 )
             except WireError as error:
-                await self._wait_after(error)
+                await self._back_off(error)
                 continue
-            await self._serve(channel)
+            await self._use_channel(channel)
 
-    async def _wait_after(self, error: WireError) -> None:
+    async def _back_off(self, error: WireError) -> None:
         if self._failures == 0:
             self._log.warning(
                 LogEvent.CORE_UNREACHABLE,
@@ -119,59 +128,59 @@
                 reason=str(error),
             )
         self._failures += 1
-        doubled_s = _FIRST_RETRY_S * 2 ** min(self._failures, 5)
-        await self.sleep(min(doubled_s, _LONGEST_RETRY_S))
+        backoff_s = _MIN_BACKOFF_S * 2 ** min(self._failures, 5)
+        await self.sleep(min(backoff_s, _MAX_BACKOFF_S))
 
-    async def _serve(self, channel: Channel) -> None:
+    async def _use_channel(self, channel: Channel) -> None:
         self._channel = channel
         reason = ''
         try:
             await channel.send(CoreHello(self._process))
-            await self._listen(channel)
+            await self._receive_messages(channel)
         except (WireError, OSError, TimeoutError) as error:
             reason = str(error) or 'silent'
         finally:
-            self._lose(channel, reason)
+            self._drop_channel(channel, reason)
         with contextlib.suppress(OSError):
             await channel.close()
 
-    async def _listen(self, channel: Channel) -> None:
+    async def _receive_messages(self, channel: Channel) -> None:
         while not self.should_stop:
-            async with asyncio.timeout(_SILENCE_S):
+            async with asyncio.timeout(_IDLE_TIMEOUT_S):
                 message = await channel.receive()
             if isinstance(message, CoreNotice):
-                self._take_notice(message)
+                self._handle_notice(message)
             elif isinstance(message, CallReply):
-                self._settle(message)
+                self._resolve_call(message)
 
-    def _take_notice(self, notice: CoreNotice) -> None:
+    def _handle_notice(self, notice: CoreNotice) -> None:
         if not self.is_open:
             self._failures = 0
             self._log.info(LogEvent.CORE_CONNECTED, core=self.core)
-        is_news = notice != self.notice
+        has_changed = notice != self.notice
         self.notice = notice
-        self.noticed_s = time.monotonic()
-        if is_news:
+        self.notice_received_s = time.monotonic()
+        if has_changed:
             self._on_change()
 
-    def _settle(self, message: CallReply) -> None:
-        reply = self._waiting.get(message.number)
+    def _resolve_call(self, message: CallReply) -> None:
+        reply = self._pending.get(message.number)
         if reply is not None and not reply.done():
             reply.set_result(message.reply)
 
-    def _lose(self, channel: Channel, reason: str) -> None:
+    def _drop_channel(self, channel: Channel, reason: str) -> None:
         channel.abort()
         if self.is_open:
             self._log.warning(
                 LogEvent.CORE_LOST,
                 core=self.core,
                 reason=reason,
-                in_flight=len(self._waiting),
+                in_flight=len(self._pending),
                 at_s=round(time.monotonic(), 3),
             )
         self._channel = None
         self.notice = None
-        for reply in self._waiting.values():
+        for reply in self._pending.values():
             if not reply.done():
                 reply.set_result(None)
         self._on_change()
--- a/tests/gateway/test_gateway.py
+++ b/tests/gateway/test_gateway.py
@@ -1,4 +1,4 @@
-"""Test that calls reach the leader, and that refusals are true."""
+"""Test how the gateway finds the leader and reports failed calls."""
 
 from __future__ import annotations
 
@@ -32,14 +32,14 @@
 )
 from wigeonreach.workspaces import Denial
 
-_PATIENCE_S = 20.0
+_TEST_TIMEOUT_S = 20.0
 _NOTICE_S = 0.1
 # A call with an effect.
 _WAVE = StartWaveCall(1, ('vm',), due_after_s=9, limit=1)
 
 
 class _FakeCore:
-    """A core process that answers as a test says.
+    """A core process with a configurable reply and notice.
 
     ``reply`` is sent for each call; None sends nothing.
     """
@@ -59,7 +59,7 @@
         self._server = await serve(address, self._on_channel)
 
     def stop(self) -> None:
-        """End, with all channels."""
+        """Stop listening and abort all channels."""
         if self._server is not None:
             self._server.close()
         for channel in self.channels:
@@ -67,7 +67,7 @@
 
     async def _on_channel(self, channel: Channel) -> None:
         self.channels.append(channel)
-        teller = asyncio.create_task(self._tell(channel))
+        notice_task = asyncio.create_task(self._send_notices(channel))
         try:
             while True:
                 message = await channel.receive()
@@ -75,9 +75,9 @@
                     self._answer(channel, message)
                 assert isinstance(message, (CallRequest, CoreHello))
         finally:
-            teller.cancel()
+            notice_task.cancel()
 
-    async def _tell(self, channel: Channel) -> None:
+    async def _send_notices(self, channel: Channel) -> None:
         while True:
             if not self.is_silent:
                 channel.post(self.notice)
@@ -93,50 +93,50 @@
     cores: list[_FakeCore],
     body: Callable[[Gateway], Awaitable[None]],
 ) -> None:
-    asyncio.run(_run_async(cores, body))
+    asyncio.run(_run_with_gateway(cores, body))
 
 
-async def _run_async(
+async def _run_with_gateway(
     cores: list[_FakeCore],
     body: Callable[[Gateway], Awaitable[None]],
 ) -> None:
     names = [core.name for core in cores]
     gateway = Gateway('caller', names, Logger('caller'), Metrics())
     try:
-        async with asyncio.timeout(_PATIENCE_S):
+        async with asyncio.timeout(_TEST_TIMEOUT_S):
             for core in cores:
                 await core.start()
             await gateway.start()
             await body(gateway)
     finally:
         await gateway.stop()
-        for ended in cores:
-            ended.stop()
+        for started in cores:
+            started.stop()
 
 
-async def _until(condition: Callable[[], bool]) -> None:
+async def _wait_until(condition: Callable[[], bool]) -> None:
     while not condition():
         await asyncio.sleep(0.01)
 
 
 class TestGateway(testtools.TestCase):
-    """Calls of one process."""
+    """Calls through the gateway of one process."""
 
     def setUp(self) -> None:
-        """Name two core processes."""
+        """Choose the addresses of two core processes."""
         super().setUp()
         names = free_addresses(2)
         self.first = names[0]
         self.second = names[1]
 
     def test_call_goes_to_the_leader(self) -> None:
-        """Also where the process that was asked first does not lead."""
+        """A follower is not called if there is a link to the leader."""
         follower = _FakeCore(self.first, self.second)
         leader = _FakeCore(self.second, self.second)
 
         async def body(gateway: Gateway) -> None:
-            await _until(lambda: len(leader.channels) > 0)
-            await _until(lambda: gateway.has_leader)
+            await _wait_until(lambda: len(leader.channels) > 0)
+            await _wait_until(lambda: gateway.has_leader)
             reply = await gateway.call(ReadManifest(), 3)
             self.assertThat(reply, matchers.Equals(Done()))
             self.assertThat(
@@ -146,15 +146,15 @@
 
         _run([follower, leader], body)
 
-    def test_refused_credential_is_asked_about_once(self) -> None:
-        """A stranger that goes on calling costs the leader nothing more."""
+    def test_denied_credential_is_cached(self) -> None:
+        """Repeated calls with an unknown credential do not load the leader."""
         leader = _FakeCore(self.first, self.first)
         leader.notice = CoreNotice(self.first, (self.first,), 1, 7)
         denied = Unauthorized(Denial.UNKNOWN, version=7)
         leader.reply = denied
 
         async def body(gateway: Gateway) -> None:
-            await _until(lambda: gateway.has_leader)
+            await _wait_until(lambda: gateway.has_leader)
             for number in range(5):
                 call = ReadJob('club.example', f'/a/{number}', b'strange')
                 self.assertThat(
@@ -167,17 +167,17 @@
 
         _run([leader], body)
 
-    def test_credential_is_asked_about_again_under_the_next_manifest(
+    def test_cached_denial_ends_with_the_next_manifest(
         self,
     ) -> None:
-        """It may have been added; so it is as soon as a notice tells of one."""
+        """The credential is checked again once a notice has a newer version."""
         leader = _FakeCore(self.first, self.first)
         leader.notice = CoreNotice(self.first, (self.first,), 1, 7)
         leader.reply = Unauthorized(Denial.UNKNOWN, version=7)
         call = ReadJob('club.example', '/a/1', b'new')
 
         async def body(gateway: Gateway) -> None:
-            await _until(lambda: gateway.has_leader)
+            await _wait_until(lambda: gateway.has_leader)
             await gateway.call(call, 3)
             leader.reply = Done()
             leader.notice = CoreNotice(self.first, (self.first,), 1, 8)
@@ -188,15 +188,15 @@
 
         _run([leader], body)
 
-    def test_silent_leader_refuses_nobody(self) -> None:
-        """What it told last may be old by now."""
+    def test_cached_denial_needs_a_fresh_notice(self) -> None:
+        """The version in an old notice may no longer be the active one."""
         leader = _FakeCore(self.first, self.first)
         leader.notice = CoreNotice(self.first, (self.first,), 1, 7)
         leader.reply = Unauthorized(Denial.UNKNOWN, version=7)
         call = ReadJob('club.example', '/a/1', b'new')
 
         async def body(gateway: Gateway) -> None:
-            await _until(lambda: gateway.has_leader)
+            await _wait_until(lambda: gateway.has_leader)
             await gateway.call(call, 3)
             leader.is_silent = True
             leader.reply = None
@@ -206,19 +206,19 @@
 
         _run([leader], body)
 
-    def test_follower_passes_on_where_the_leader_is_out_of_reach(self) -> None:
-        """A process without a channel to the leader asks one that has."""
+    def test_follower_forwards_if_the_leader_is_unreachable(self) -> None:
+        """Without a link to the leader, the call goes to a follower."""
         follower = _FakeCore(self.first, self.second)
 
         async def body(gateway: Gateway) -> None:
-            await _until(lambda: gateway.has_leader)
+            await _wait_until(lambda: gateway.has_leader)
             reply = await gateway.call(ReadManifest(), 3)
             self.assertThat(reply, matchers.Equals(Done()))
 
         _run([follower], body)
 
-    def test_call_without_a_leader_was_not_done(self) -> None:
-        """Nothing was sent, so the refusal is true."""
+    def test_call_without_a_leader_is_not_done(self) -> None:
+        """Nothing was sent, so the call had no effect."""
         core = _FakeCore(self.first, '')
 
         async def body(gateway: Gateway) -> None:
@@ -228,46 +228,46 @@
 
         _run([core], body)
 
-    def test_lost_reply_is_not_taken_for_a_refusal(self) -> None:
-        """What was sent may have had its effect."""
+    def test_lost_reply_gives_an_unknown_outcome(self) -> None:
+        """A call that was sent may have had an effect."""
         leader = _FakeCore(self.first, self.first)
         leader.reply = None
 
         async def body(gateway: Gateway) -> None:
-            await _until(lambda: gateway.has_leader)
+            await _wait_until(lambda: gateway.has_leader)
             reply = await gateway.call(_WAVE, 0.3)
             self.assertThat(reply, matchers.Equals(Unknown()))
 
         _run([leader], body)
 
-    def test_reply_lost_with_its_channel_is_not_a_refusal(self) -> None:
-        """Also where no leader is found in the time that is left."""
+    def test_channel_lost_during_a_call_gives_an_unknown_outcome(self) -> None:
+        """The outcome stays unknown if no leader is found in time."""
         leader = _FakeCore(self.first, self.first)
         leader.reply = None
 
         async def body(gateway: Gateway) -> None:
-            await _until(lambda: gateway.has_leader)
+            await _wait_until(lambda: gateway.has_leader)
             call = asyncio.create_task(gateway.call(_WAVE, 2))
-            await _until(lambda: leader.calls > 0)
+            await _wait_until(lambda: leader.calls > 0)
             leader.stop()
             self.assertThat(await call, matchers.Equals(Unknown()))
 
         _run([leader], body)
 
-    def test_call_whose_reply_was_lost_waits_for_the_next_leader(self) -> None:
-        """Its caller is told what became of it, if there is time to learn it.
+    def test_call_with_a_lost_reply_waits_for_the_next_leader(self) -> None:
+        """It gets the reply of the next leader within the caller's timeout.
 
-        Pattern: the leader loses its power with calls in flight, and the next one is
-        found later than a new call would wait for it.
+        Guards against an unknown outcome when a leader loses power with calls in
+        flight, and the election takes longer than a new call would wait.
         """
         leader = _FakeCore(self.first, self.first)
         leader.reply = None
         later = _FakeCore(self.second, '')
 
         async def body(gateway: Gateway) -> None:
-            await _until(lambda: gateway.has_leader)
+            await _wait_until(lambda: gateway.has_leader)
             call = asyncio.create_task(gateway.call(_WAVE, 6))
-            await _until(lambda: leader.calls > 0)
+            await _wait_until(lambda: leader.calls > 0)
             leader.stop()
             await asyncio.sleep(1.5)
             later.notice = CoreNotice(self.second, (self.second,), 2)
@@ -275,29 +275,31 @@
 
         _run([leader, later], body)
 
-    def test_lost_reply_to_a_read_is_a_refusal(self) -> None:
-        """Nothing ran that its caller could not ask for again."""
+    def test_read_with_a_lost_reply_is_not_done(self) -> None:
+        """A read has no effect, so the outcome is known."""
         leader = _FakeCore(self.first, self.first)
         leader.reply = None
 
         async def body(gateway: Gateway) -> None:
-            await _until(lambda: gateway.has_leader)
+            await _wait_until(lambda: gateway.has_leader)
             for read in (ReadManifest(), ReadWave(1)):
                 reply = await gateway.call(read, 0.3)
                 self.assertThat(reply, matchers.IsInstance(NotDone))
 
         _run([leader], body)
 
-    def test_new_leader_gets_the_call_again(self) -> None:
-        """A reply that was lost with the old one is asked for again."""
+    def test_call_is_retried_with_the_new_leader(self) -> None:
+        """The reply was lost with the connection to the old leader."""
         old = _FakeCore(self.first, self.first, term=1)
         old.reply = None
         new = _FakeCore(self.second, self.first, term=1)
 
         async def body(gateway: Gateway) -> None:
-            await _until(lambda: gateway.has_leader and len(new.channels) > 0)
+            await _wait_until(
+                lambda: gateway.has_leader and len(new.channels) > 0
+            )
             call = asyncio.create_task(gateway.call(ReadManifest(), 5))
-            await _until(lambda: old.calls > 0)
+            await _wait_until(lambda: old.calls > 0)
             old.stop()
             new.notice = CoreNotice(self.second, (self.second,), 2)
             self.assertThat(await call, matchers.Equals(Done()))
@@ -305,12 +307,14 @@
         _run([old, new], body)
 
     def test_newest_term_wins(self) -> None:
-        """A process that was cut off still believes in an older leader."""
+        """A partitioned process may still report the leader of an older term."""
         cut_off = _FakeCore(self.first, self.first, term=1)
         leader = _FakeCore(self.second, self.second, term=2)
 
         async def body(gateway: Gateway) -> None:
-            await _until(lambda: bool(cut_off.channels and leader.channels))
+            await _wait_until(
+                lambda: bool(cut_off.channels and leader.channels)
+            )
             await asyncio.sleep(2 * _NOTICE_S)
             await gateway.call(ReadManifest(), 3)
             self.assertThat(
@@ -320,21 +324,21 @@
 
         _run([cut_off, leader], body)
 
-    def test_silent_channel_is_given_up(self) -> None:
-        """A channel without a reset is found by its silence."""
+    def test_idle_channel_is_closed(self) -> None:
+        """A broken connection without a TCP reset is detected by a timeout."""
         leader = _FakeCore(self.first, self.first)
 
         async def body(gateway: Gateway) -> None:
-            await _until(lambda: gateway.has_leader)
+            await _wait_until(lambda: gateway.has_leader)
             leader.is_silent = True
-            await _until(lambda: not gateway.has_leader)
+            await _wait_until(lambda: not gateway.has_leader)
             leader.is_silent = False
-            await _until(lambda: gateway.has_leader)
+            await _wait_until(lambda: gateway.has_leader)
 
         _run([leader], body)
 
-    def test_long_outage_sends_callers_away_for_longer(self) -> None:
-        """Few tries are left to them, and an election takes a second."""
+    def test_long_outage_gives_a_longer_retry_delay(self) -> None:
+        """Callers retry only a few times, and an election takes a second."""
         core = _FakeCore(self.first, '')
 
         async def body(gateway: Gateway) -> None:
