--- a/src/wigeonreach/core/__init__.py
+++ b/src/wigeonreach/core/__init__.py
@@ -1,6 +1,6 @@
-"""Keep the state, decide and answer: the processes at the core."""
+"""Core processes: replicated state, scheduling by the leader, and calls."""
 
-from wigeonreach.core._alone import NoAdvisor, UnmanagedVms
+from wigeonreach.core._null_platform import NoAdvisor, UnmanagedVms
 from wigeonreach.core._daemon import Core
 from wigeonreach.core._settings import CoreSettings
 
--- a/src/wigeonreach/core/_advising.py
+++ b/src/wigeonreach/core/_advice_poller.py
@@ -1,4 +1,4 @@
-"""Ask the advisor about steps, as the leader."""
+"""Forward the scheduler's questions to the advisor while leading."""
 
 from __future__ import annotations
 
@@ -10,29 +10,29 @@
 from wigeonreach.observe import Metrics
 from wigeonreach.scheduling._advice import Advice, Question
 
-_ROUND_S = 0.05
-# The advisor takes one call of a process at a time; a second one waits there.
-_AT_ONCE = 2
+_POLL_INTERVAL_S = 0.05
+# The advisor serves one call per process at a time; a second one queues there.
+_MAX_CONCURRENT_CALLS = 2
 
 
 class AdvisorApi(Protocol):
-    """Who knows which workers may run a step."""
+    """Service that knows which workers may run a step."""
 
     async def advise(self, question: Question) -> Advice | None:
-        """Return the tickets, or None if there was no answer."""
+        """Return the tickets, or None without an answer."""
 
 
-class Advising:
-    """Put the scheduler's questions to the advisor.
+class AdvicePoller:
+    """Polls the scheduler for questions and sends them to the advisor.
 
     Parameters
     ----------
     term
-        Under which is decided.
+        The leader's term, whose scheduler is polled.
     api
         The advisor.
     metrics
-        Where calls are counted.
+        Counts and times the calls.
     """
 
     def __init__(
@@ -41,35 +41,35 @@
         api: AdvisorApi,
         metrics: Metrics,
     ) -> None:
-        """Ask nothing yet."""
+        """Prepare; nothing is sent before ``run``."""
         self._term = term
         self._api = api
         self._metrics = metrics
-        self._turns = asyncio.Semaphore(_AT_ONCE)
-        self._asking: set[asyncio.Task[None]] = set()
+        self._call_slots = asyncio.Semaphore(_MAX_CONCURRENT_CALLS)
+        self._tasks: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
-        """Ask until cancelled."""
+        """Poll until cancelled."""
         try:
             while True:
-                await asyncio.sleep(_ROUND_S)
+                await asyncio.sleep(_POLL_INTERVAL_S)
                 for question in self._term.scheduler.advice.questions():
                     task = asyncio.create_task(self._ask(question))
-                    self._asking.add(task)
-                    task.add_done_callback(self._asking.discard)
+                    self._tasks.add(task)
+                    task.add_done_callback(self._tasks.discard)
         finally:
-            for asking in self._asking:
-                asking.cancel()
+            for running in self._tasks:
+                running.cancel()
 
     async def _ask(self, question: Question) -> None:
-        async with self._turns:
-            began_s = steady_s()
+        async with self._call_slots:
+            sent_s = steady_s()
             advice = await self._api.advise(question)
-        self._metrics.observe_s('advice', steady_s() - began_s)
+        self._metrics.observe_s('advice', steady_s() - sent_s)
         outcome = 'none' if advice is None else 'answered'
         self._metrics.count('advice_calls', outcome)
         if advice is not None and advice.unreadable:
             self._metrics.count('advice_rows_skipped', amount=advice.unreadable)
-        # Tickets count from when they were made out, so from the question.
-        self._term.scheduler.advice.note(question, advice, began_s)
+        # The validity of tickets counts from when the question was sent.
+        self._term.scheduler.advice.note(question, advice, sent_s)
         self._term.wake.set()
--- a/src/wigeonreach/core/_call_handler.py
+++ b/src/wigeonreach/core/_call_handler.py
@@ -1,4 +1,4 @@
-"""Answer calls as the leader."""
+"""Handle calls as the leader."""
 
 from __future__ import annotations
 
@@ -54,16 +54,16 @@
 
 
 class CallHandler:
-    """What a leader answers.
+    """Handles the calls that reach the leader.
 
     Parameters
     ----------
     term
-        Under which it leads.
+        The leader's term.
     store
-        The replicated state; it is only read here.
+        The replicated state; only read here.
     logger, metrics
-        Where decisions are logged and counted.
+        Log and count the decisions.
     """
 
     def __init__(
@@ -73,45 +73,45 @@
         logger: Logger,
         metrics: Metrics,
     ) -> None:
-        """Answer by the state of the store."""
+        """Prepare to handle calls."""
         self.term = term
         self.store = store
         self.log = logger
         self.metrics = metrics
 
-    async def answer(self, call: object) -> AnyReply:
-        """Answer one call.
+    async def handle(self, call: object) -> AnyReply:
+        """Handle one call and return its reply.
 
         Raises
         ------
         StateError
-            If a quorum did not confirm: the call may have had its effect.
+            If a quorum did not confirm; the call may have had an effect.
         """
-        return await _on(call, self)
+        return await _handle_call(call, self)
 
-    def queue_of(self, call: QueueCall) -> tuple[QueueSpec, str] | None:
-        """Return a call's queue and what follows its prefix."""
+    def find_queue(self, call: QueueCall) -> tuple[QueueSpec, str] | None:
+        """Return a call's queue and the rest of the path after its prefix."""
         queue = self.store.queues.at(call.host, call.path)
         if queue is None:
             return None
         return queue, call.path.removeprefix(queue.path_prefix)
 
-    def denies(
+    def check_access(
         self,
         call: WorkspaceCall,
         queue: QueueSpec,
         job: JobRecord | None = None,
     ) -> Unauthorized | Forbidden | None:
-        """Return why a call may not be made, or None if it may.
+        """Return the denial of a call, or None if it is allowed.
 
         Parameters
         ----------
         call
-            With what stands for its caller.
+            The call, with the credential of its caller.
         queue
-            Which it is made to.
+            The queue that the call addresses.
         job
-            That it is about, if there is one.
+            The job that the call addresses, if it exists.
         """
         caller = self.store.workspaces.caller(call.credential, queue.is_public)
         if caller is None:
@@ -121,7 +121,7 @@
         return Forbidden(caller)
 
     def unauthorized(self, call: WorkspaceCall) -> Unauthorized:
-        """Return the refusal of a call by its credential."""
+        """Return the denial of a call because of its credential."""
         return Unauthorized(
             *self.store.workspaces.denial_reason(call.credential),
             self.store.manifest.version,
@@ -129,37 +129,37 @@
 
 
 @functools.singledispatch
-async def _on(call: object, handler: CallHandler) -> AnyReply:
+async def _handle_call(call: object, handler: CallHandler) -> AnyReply:
     raise TypeError(type(call).__name__)
 
 
-@_on.register
-async def _on_submit(call: SubmitJob, handler: CallHandler) -> AnyReply:
+@_handle_call.register
+async def _handle_submit_job(call: SubmitJob, handler: CallHandler) -> AnyReply:
     if not handler.store.manifest.version:
         return _NO_MANIFEST
-    found = handler.queue_of(call)
+    found = handler.find_queue(call)
     if found is None:
         await handler.term.barrier.wait()
         return NotFound()
     queue, job_id = found
-    denied = handler.denies(call, queue, handler.store.jobs.get(job_id))
-    if denied is not None:
-        # A leader that has been replaced may not know the newest credentials.
+    denial = handler.check_access(call, queue, handler.store.jobs.get(job_id))
+    if denial is not None:
+        # A replaced leader may not know the newest credentials.
         await handler.term.barrier.wait()
-        return denied
+        return denial
     if not _JOB_ID.fullmatch(job_id):
         return Invalid(f'job id {job_id!r}; allowed: 16 hexadecimal digits')
     verdict = await handler.term.propose(
         AddJob(
             call.spec_for(job_id),
             queue.name,
-            handler.term.day_clock.now_ms(),
+            handler.term.wall_clock.now_ms(),
             call.credential,
         ),
     )
-    refused = _refused_add(verdict, call, handler)
-    if refused is not None:
-        return refused
+    rejection = _rejection_reply(verdict, call, handler)
+    if rejection is not None:
+        return rejection
     if verdict is Verdict.DONE:
         handler.metrics.count('jobs_accepted')
         handler.term.wake.set()
@@ -170,17 +170,17 @@
             workspace=handler.store.jobs[job_id].workspace,
             version=handler.store.manifest.version,
             occurrences=call.spec.occurrences,
-            steps=[_shape(step) for step in call.spec.steps],
+            steps=[_describe_step(step) for step in call.spec.steps],
         )
     return Done()
 
 
-def _refused_add(
+def _rejection_reply(
     verdict: Verdict,
     call: SubmitJob,
     handler: CallHandler,
 ) -> AnyReply | None:
-    """Return what a caller is told whose job was not accepted."""
+    """Return the reply to a job that was not accepted, or None otherwise."""
     if verdict is Verdict.NO_QUEUE:
         return NotFound()
     if verdict is Verdict.UNAUTHORIZED:
@@ -188,8 +188,8 @@
     return Forbidden('') if verdict is Verdict.OTHERS else None
 
 
-def _shape(step: StepSpec) -> str:
-    """Return what decides where a step's tasks may go, for a log line."""
+def _describe_step(step: StepSpec) -> str:
+    """Return a step's placement requirements, for a log line."""
     kind = 'serving' if step.is_service else 'batch'
     return (
         f'{step.count} {kind} {step.cpu_millicores}m {step.memory_mb}MB'
@@ -201,19 +201,19 @@
     )
 
 
-@_on.register
-async def _on_read_job(call: ReadJob, handler: CallHandler) -> AnyReply:
+@_handle_call.register
+async def _handle_read_job(call: ReadJob, handler: CallHandler) -> AnyReply:
     await handler.term.barrier.wait()
     if not handler.store.manifest.version:
         return _NO_MANIFEST
-    found = handler.queue_of(call)
+    found = handler.find_queue(call)
     if found is None:
         return NotFound()
     queue, job_id = found
     job = handler.store.jobs.get(job_id)
-    denied = handler.denies(call, queue, job)
-    if denied is not None:
-        return denied
+    denial = handler.check_access(call, queue, job)
+    if denial is not None:
+        return denial
     if not job_id:
         return WaitingJobs(_count_waiting(handler.store, queue))
     if job is None:
@@ -229,18 +229,20 @@
     )
 
 
-@_on.register
-async def _on_cancel(call: CancelJobCall, handler: CallHandler) -> AnyReply:
-    found = handler.queue_of(call)
+@_handle_call.register
+async def _handle_cancel_job(
+    call: CancelJobCall, handler: CallHandler
+) -> AnyReply:
+    found = handler.find_queue(call)
     job_id = found[1] if found else call.path.rpartition('/')[2]
     if job_id not in handler.store.jobs:
         await handler.term.barrier.wait()
     job = handler.store.jobs.get(job_id)
     queue = found[0] if found else job and job.queue
-    denied = handler.denies(call, queue, job) if queue else None
-    if denied is not None:
+    denial = handler.check_access(call, queue, job) if queue else None
+    if denial is not None:
         await handler.term.barrier.wait()
-        return denied
+        return denial
     if job is None:
         return NoSuchJob()
     verdict = await handler.term.propose(CancelJob(job_id))
@@ -251,8 +253,8 @@
     return Done()
 
 
-@_on.register
-async def _on_read_manifest(
+@_handle_call.register
+async def _handle_read_manifest(
     call: ReadManifest, handler: CallHandler
 ) -> AnyReply:
     await handler.term.barrier.wait()
@@ -260,8 +262,10 @@
     return ManifestText(manifest.document) if manifest.version else _NO_MANIFEST
 
 
-@_on.register
-async def _on_put_manifest(call: PutManifest, handler: CallHandler) -> AnyReply:
+@_handle_call.register
+async def _handle_put_manifest(
+    call: PutManifest, handler: CallHandler
+) -> AnyReply:
     before = handler.store.manifest.version
     await handler.term.propose(SetManifest(call.manifest))
     handler.log.info(
@@ -274,8 +278,10 @@
     return Done()
 
 
-@_on.register
-async def _on_start_wave(call: StartWaveCall, handler: CallHandler) -> AnyReply:
+@_handle_call.register
+async def _handle_start_wave(
+    call: StartWaveCall, handler: CallHandler
+) -> AnyReply:
     await handler.term.propose(
         StartWave(call.wave, call.vms, call.due_after_s, call.limit),
     )
@@ -289,21 +295,23 @@
     return Done()
 
 
-@_on.register
-async def _on_read_wave(call: ReadWave, handler: CallHandler) -> AnyReply:
+@_handle_call.register
+async def _handle_read_wave(call: ReadWave, handler: CallHandler) -> AnyReply:
     await handler.term.barrier.wait()
     wave = handler.store.waves.get(call.wave)
     return NotFound() if wave is None else WaveState(wave.is_done)
 
 
-@_on.register
-async def _on_hear(call: HearWorker, handler: CallHandler) -> AnyReply:
-    orders = await handler.term.hear(call.report)
+@_handle_call.register
+async def _handle_heartbeat(call: HearWorker, handler: CallHandler) -> AnyReply:
+    orders = await handler.term.receive_heartbeat(call.report)
     return Unknown() if orders is None else Orders(orders)
 
 
-@_on.register
-async def _on_drop(call: DropWorker, handler: CallHandler) -> AnyReply:
-    handler.term.note_leaving(call.worker)
+@_handle_call.register
+async def _handle_drop_worker(
+    call: DropWorker, handler: CallHandler
+) -> AnyReply:
+    handler.term.mark_leaving(call.worker)
     await handler.term.barrier.wait()
     return Done()
--- a/src/wigeonreach/core/_daemon.py
+++ b/src/wigeonreach/core/_daemon.py
@@ -1,4 +1,4 @@
-"""Run a core process: a replica that decides while it leads."""
+"""Core process: a replica that makes all decisions while it leads."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 from wigeonreach.agreement import FolderDisk, SpaceWatch
 from wigeonreach.codes import ExitCode
-from wigeonreach.core._advising import Advising, AdvisorApi
+from wigeonreach.core._advice_poller import AdvicePoller, AdvisorApi
 from wigeonreach.core._call_handler import CallHandler
-from wigeonreach.core._clock import DayClock, steady_s
-from wigeonreach.core._opening import open_agreement
+from wigeonreach.core._clock import WallClock, steady_s
+from wigeonreach.core._replica_setup import open_agreement
 from wigeonreach.core._server import CoreServer
 from wigeonreach.core._settings import CoreSettings
 from wigeonreach.core._term import LeaderTerm
@@ -40,16 +40,16 @@
     lacks_leader,
 )
 
-_FORGET_S = 5.0
-_CLOCK_S = 1.0
-_SPACE_S = 1.0
-# A caller is told within the time that its shortest wait allows (1 s).
+_FORGET_INTERVAL_S = 5.0
+_CLOCK_INTERVAL_S = 1.0
+_DISK_CHECK_INTERVAL_S = 1.0
+# Shorter than the shortest timeout of a caller (1 s).
 _RELAY_TIMEOUT_S = 0.9
-# An election that nobody contests takes a few syncs and messages.
-_HAND_OVER_S = 1.0
+# An uncontested election takes a few disk syncs and messages.
+_HAND_OVER_TIMEOUT_S = 1.0
 _HAND_OVER_POLL_S = 0.1
-# Workers and entries that have not heard of the next leader still call here.
-_PASS_ON_S = 1.0
+# Workers and entry processes call here until they know the next leader.
+_RELAY_GRACE_S = 1.0
 _NO_LEADER = NotDone(WhyNot.NO_LEADER)
 
 
@@ -59,13 +59,13 @@
     Parameters
     ----------
     settings
-        Who it is.
+        Identity and configuration of the process.
     api
-        How VMs are maintained and moved.
+        Platform API that maintains and moves VMs.
     advisor
-        Who knows which workers may run some queues' steps.
+        Service that knows which workers may run the steps of some queues.
     logger, metrics
-        Where events are logged and counted.
+        Log and count events.
     """
 
     def __init__(
@@ -90,7 +90,7 @@
             settings,
             self._store,
             self._disk,
-            self._leave,
+            self._abort_process,
             self._on_role,
             logger,
         )
@@ -102,68 +102,68 @@
         )
         self._server = CoreServer(
             settings.listen,
-            self._notice,
+            self._build_notice,
             self._agreement.receive,
             self.handle,
         )
-        self._holds = VmHolds(self._store, settings.order_pause_s)
+        self._vm_holds = VmHolds(self._store, settings.order_pause_s)
         self._term: LeaderTerm | None = None
         self._handler: CallHandler | None = None
-        self._leading: asyncio.Task[None] | None = None
-        self._told_peers: tuple[str, ...] = ()
-        self._day_clock = DayClock(logger, metrics)
+        self._lead_task: asyncio.Task[None] | None = None
+        self._known_cores: tuple[str, ...] = ()
+        self._wall_clock = WallClock(logger, metrics)
 
     @property
     def is_leading(self) -> bool:
-        """Whether this process decides now."""
+        """Whether this process is the leader and its term has begun."""
         term = self._term
         return term is not None and term.has_begun and self._agreement.is_leader
 
     async def on_start(self) -> None:
-        """Listen and take part in the agreement."""
+        """Start the replica, the server and the gateway."""
         for service in (self._agreement, self._server, self._gateway):
             await self.add_runtime_dependency(service)
 
     async def drain(self) -> None:
-        """Let another process lead, and pass calls on for a while."""
-        due_s = steady_s() + _HAND_OVER_S
+        """Hand leadership over, then forward calls for a while."""
+        due_s = steady_s() + _HAND_OVER_TIMEOUT_S
         while self._agreement.is_leader and steady_s() < due_s:
             self._agreement.hand_over()
             await asyncio.sleep(_HAND_OVER_POLL_S)
-        await asyncio.sleep(_PASS_ON_S)
+        await asyncio.sleep(_RELAY_GRACE_S)
 
     async def on_shutdown(self) -> None:
-        """Give the data folder up, once nothing writes to it any more."""
+        """Close the data folder, once nothing writes to it any more."""
         self._disk.close()
 
     def change_seeds(self, seeds: tuple[str, ...]) -> None:
-        """Take other seeds."""
+        """Replace the seeds."""
         self._gateway.change_seeds(seeds)
 
     async def call(self, call: AnyCall, timeout_s: float) -> AnyReply:
-        """Answer a call of a caller, a worker or an operator."""
+        """Handle a call of a client, a worker or an operator."""
         if self.is_leading:
-            reply = await self._answer_in(call, timeout_s)
+            reply = await self._answer_within(call, timeout_s)
             if not lacks_leader(reply):
                 return reply
         reply = await self._gateway.call(call, timeout_s)
-        return self._with_next_core(reply)
+        return self._with_leader_address(reply)
 
     async def handle(self, call: AnyCall, hops_left: int) -> AnyReply:
-        """Answer a call that another process passed on."""
+        """Handle a call that another process forwarded."""
         if self.is_leading:
             return await self._answer(call)
         if hops_left > 0 and self._agreement.leader != self._settings.name:
             return await self._gateway.call(call, _RELAY_TIMEOUT_S)
         return _NO_LEADER
 
-    @mode.Service.timer(_CLOCK_S)
-    async def _look_at_clock(self) -> None:
-        # Also while another process leads: who takes over knows the time.
-        self._day_clock.now_ms()
+    @mode.Service.timer(_CLOCK_INTERVAL_S)
+    async def _sample_clock(self) -> None:
+        # Also sampled while following, so that a new leader has a valid offset.
+        self._wall_clock.now_ms()
 
-    @mode.Service.timer(_FORGET_S)
-    async def _forget(self) -> None:
+    @mode.Service.timer(_FORGET_INTERVAL_S)
+    async def _forget_ended_jobs(self) -> None:
         term = self._term
         if self.is_leading and term is not None:
             try:
@@ -171,12 +171,12 @@
             except StateError as error:
                 self._log.warning(LogEvent.CALL_FAILED, reason=str(error))
 
-    @mode.Service.timer(_SPACE_S)
-    async def _watch_space(self) -> None:
+    @mode.Service.timer(_DISK_CHECK_INTERVAL_S)
+    async def _check_disk_space(self) -> None:
         try:
             space = self._disk.space()
         except OSError as error:
-            # Files come and go; it is looked at again soon.
+            # Files may vanish during the scan; the next check repeats it.
             self._log.warning(LogEvent.DISK_REFUSED, reason=str(error))
             return
         self._metrics.gauge('disk_used_bytes', space.used_bytes)
@@ -190,28 +190,29 @@
             )
 
     @mode.Service.timer(0.2)
-    async def _tend(self) -> None:
-        if self._leading is None:
-            # Only a leader looks at what changed.
+    async def _refresh_state(self) -> None:
+        if self._lead_task is None:
+            # Only the leader's scheduler reads and clears the changed jobs.
             self._store.changed.clear()
-        self._holds.refresh(steady_s())
+        self._vm_holds.refresh(steady_s())
         cores = self._gateway.cores
-        if cores != self._told_peers:
-            self._told_peers = cores
+        if cores != self._known_cores:
+            self._known_cores = cores
             self._agreement.note_peers(cores)
 
-    async def _answer_in(self, call: AnyCall, timeout_s: float) -> AnyReply:
+    async def _answer_within(self, call: AnyCall, timeout_s: float) -> AnyReply:
         try:
             async with asyncio.timeout(timeout_s):
                 return await self._answer(call)
         except TimeoutError:
-            # Whoever asked has gone: not to be passed on as lacking a leader.
+            # The caller has timed out, so the call is not forwarded as it would
+            # be without a leader.
             return Unknown()
 
     async def _answer(self, call: AnyCall) -> AnyReply:
         assert self._handler is not None
         try:
-            reply = await self._handler.answer(call)
+            reply = await self._handler.handle(call)
         except StateError as error:
             self._metrics.count('calls_failed', 'no-quorum')
             self._log.warning(
@@ -219,16 +220,19 @@
                 call=type(call).__name__,
                 reason=str(error),
             )
-            # A call that only reads had no effect that anybody could miss.
+            # A read has no effect, so its outcome is known.
             return _NO_LEADER if isinstance(call, READS) else Unknown()
         if isinstance(call, PutManifest):
-            # Before the acknowledgement: an entry repeats no refusal that was
-            # given under an older manifest.
-            self._server.tell()
+            # Before the acknowledgement, so that entry processes drop denials
+            # cached under the older manifest.
+            self._server.send_notices()
         return reply
 
-    def _with_next_core(self, reply: AnyReply) -> AnyReply:
-        """Tell a worker who leads, which saves its next heartbeat a hop."""
+    def _with_leader_address(self, reply: AnyReply) -> AnyReply:
+        """Add the leader's address to a worker's orders.
+
+        The worker's next heartbeat then goes to the leader directly.
+        """
         leader = self._agreement.leader
         has_api = self._settings.api_port > 0
         if not isinstance(reply, Orders) or not leader or not has_api:
@@ -237,7 +241,7 @@
         address = f'{host}:{self._settings.api_port}'
         return Orders(reply.orders.towards(address))
 
-    def _notice(self) -> CoreNotice:
+    def _build_notice(self) -> CoreNotice:
         return CoreNotice(
             self._reachable_leader(),
             tuple(sorted({*self._agreement.peers, *self._gateway.cores})),
@@ -246,20 +250,20 @@
         )
 
     def _reachable_leader(self) -> str:
-        """Return the leader, unless calls from here would not reach it."""
+        """Return the leader, or an empty string if it is unreachable."""
         leader = self._agreement.leader
         if leader == self._settings.name:
             return leader if self.is_leading else ''
         return leader if self._gateway.reaches(leader) else ''
 
     def _on_role(self) -> None:
-        if self._leading is not None and not self._is_term_over():
+        if self._lead_task is not None and not self._is_term_over():
             return
-        if self._leading is not None:
+        if self._lead_task is not None:
             self._end_term()
         if self._agreement.is_leader:
             self._begin_term()
-        self._server.tell()
+        self._server.send_notices()
 
     def _is_term_over(self) -> bool:
         term = self._term
@@ -273,25 +277,25 @@
             self._store,
             self._agreement.term,
             self._settings.scheduling,
-            self._day_clock,
+            self._wall_clock,
             self._log,
             self._metrics,
         )
         self._term = term
         self._handler = CallHandler(term, self._store, self._log, self._metrics)
-        self._leading = asyncio.create_task(self._lead(term))
-        self._leading.add_done_callback(self._on_lead_end)
+        self._lead_task = asyncio.create_task(self._lead(term))
+        self._lead_task.add_done_callback(self._on_lead_task_done)
 
-    def _on_lead_end(self, leading: asyncio.Task[None]) -> None:
-        # A leader that does not decide would hold everything up.
-        error = None if leading.cancelled() else leading.exception()
+    def _on_lead_task_done(self, lead_task: asyncio.Task[None]) -> None:
+        # A leader that makes no decisions would block the whole system.
+        error = None if lead_task.cancelled() else lead_task.exception()
         if isinstance(error, Exception):
-            self._leave(error)
+            self._abort_process(error)
 
     def _end_term(self) -> None:
-        assert self._leading is not None
-        self._leading.cancel()
-        self._leading = None
+        assert self._lead_task is not None
+        self._lead_task.cancel()
+        self._lead_task = None
         self._log.info(
             LogEvent.TERM_ENDED,
             term=self._term.term if self._term else 0,
@@ -305,27 +309,27 @@
                 await term.begin()
             except StateError as error:
                 self._log.warning(LogEvent.CALL_FAILED, reason=str(error))
-        self._server.tell()
+        self._server.send_notices()
         vm_actions = VmActions(
             term,
             self._store,
             self._api,
             VmOrders(
                 term,
-                self._holds,
+                self._vm_holds,
                 self._log,
                 self._metrics,
             ),
             self._log,
             self._metrics,
         )
-        advising = Advising(term, self._advisor, self._metrics)
+        advice_poller = AdvicePoller(term, self._advisor, self._metrics)
         async with asyncio.TaskGroup() as group:
             group.create_task(term.run())
             group.create_task(vm_actions.run())
-            group.create_task(advising.run())
+            group.create_task(advice_poller.run())
 
-    def _leave(self, error: Exception) -> None:
-        # After a failed sync nothing in memory may be told to anybody.
+    def _abort_process(self, error: Exception) -> None:
+        # After a failed disk sync, no state in memory may be exposed.
         self._log.warning(LogEvent.REPLICA_FAILED, reason=repr(error))
         os._exit(ExitCode.FAILED)  # noqa: SLF001, WPS437
--- a/src/wigeonreach/core/_alone.py
+++ b/src/wigeonreach/core/_null_platform.py
@@ -1,4 +1,4 @@
-"""Stand where no platform is: VMs are left alone, nobody advises."""
+"""Null objects for a system without a platform and without an advisor."""
 
 from __future__ import annotations
 
@@ -7,28 +7,28 @@
 
 
 class UnmanagedVms:
-    """VMs that this system neither lists nor changes.
+    """VM API that neither lists nor changes VMs.
 
-    An order is answered as busy, so that a wave over such VMs is never said
-    to be done.
+    Orders are answered as busy, so that a wave over such VMs is never reported
+    as done.
     """
 
     async def list_vms(self) -> tuple[VmRecord, ...] | None:
-        """Return no VM: no list is kept."""
+        """Return no VMs."""
         return ()
 
     async def maintain(self, vm: str, wave: int, fence: int) -> OrderResult:
-        """Leave the VM as it is."""
+        """Refuse the order as busy."""
         return OrderResult.BUSY
 
     async def move(self, vm: str, pool: str, fence: int) -> OrderResult:
-        """Leave the VM where it is."""
+        """Refuse the order as busy."""
         return OrderResult.BUSY
 
 
 class NoAdvisor:
-    """Nobody who knows which workers may run a step."""
+    """Advisor that allows no worker to run a step."""
 
     async def advise(self, question: Question) -> Advice | None:
-        """Return no ticket: nobody says that a worker may run it."""
+        """Return no tickets."""
         return Advice({}, 0)
--- a/src/wigeonreach/core/_opening.py
+++ b/src/wigeonreach/core/_replica_setup.py
@@ -1,4 +1,4 @@
-"""Open the durable state of a core process."""
+"""Create the replica of a core process from its data folder."""
 
 from __future__ import annotations
 
@@ -26,32 +26,32 @@
     on_role: Callable[[], None],
     logger: Logger,
 ) -> RaftAgreement:
-    """Load what the disk holds and prepare to agree with the others.
+    """Load the durable state and create the replica.
 
     Parameters
     ----------
     settings
-        Who the process is.
+        Identity and configuration of the process.
     store
-        What is replicated.
+        The replicated state machine.
     disk
-        Its data folder.
+        The data folder.
     on_failed
-        Called with an error after which the process must not go on.
+        Called with an error after which the process must terminate.
     on_role
         Called after the role or the leader changed.
     logger
-        Where events are logged.
+        Logs events.
 
     Returns
     -------
     RaftAgreement
-        Not started yet.
+        The replica, not started yet.
 
     Raises
     ------
     StateError
-        If the disk refuses, or is damaged and there is no peer.
+        If the disk can't be used, or is damaged and there is no peer.
     """
     storage = Storage(disk)
     stored = open_storage(
@@ -81,7 +81,7 @@
 
 
 def _members(settings: CoreSettings) -> tuple[Member, ...]:
-    """Return the seeds in their order, the first of which founds."""
+    """Return the seeds in order; the first one founds the cluster."""
     names = settings.seeds
     if settings.name not in names:
         names = (*names, settings.name)
--- a/src/wigeonreach/core/_server.py
+++ b/src/wigeonreach/core/_server.py
@@ -1,4 +1,4 @@
-"""Talk to the other processes over channels."""
+"""Server for messages between replicas and calls of other processes."""
 
 from __future__ import annotations
 
@@ -22,23 +22,23 @@
     RaftMessage,
 )
 
-# Several in the time after which a silent channel is given up (1.2 s).
-_NOTICE_S = 0.4
+# Several notices fit in the idle timeout of a channel (1.2 s).
+_NOTICE_INTERVAL_S = 0.4
 
 
 class CoreServer(mode.Service):
-    """Take messages of replicas and calls of all processes.
+    """Accepts channels from replicas and from callers.
 
     Parameters
     ----------
     listen
-        Where to listen.
+        Address to listen on.
     notice
-        Returns what others are to know now.
+        Returns the current notice for subscribers.
     on_replica
-        Takes a message between replicas.
+        Called with a message between replicas.
     on_call
-        Answers a call that may be passed on so often.
+        Called with a call and the number of times it may be forwarded.
     """
 
     def __init__(
@@ -48,47 +48,47 @@
         on_replica: Callable[[RaftMessage], None],
         on_call: Callable[[AnyCall, int], Awaitable[AnyReply]],
     ) -> None:
-        """Listen once started."""
+        """Prepare; the server listens on start."""
         super().__init__()
         self._listen = listen
         self._notice = notice
         self._on_replica = on_replica
         self._on_call = on_call
         self._server: asyncio.Server | None = None
-        self._open: set[Channel] = set()
-        self._told: set[Channel] = set()
-        self._calls: set[asyncio.Task[None]] = set()
+        self._channels: set[Channel] = set()
+        self._subscribers: set[Channel] = set()
+        self._call_tasks: set[asyncio.Task[None]] = set()
 
     async def on_start(self) -> None:
-        """Listen."""
+        """Start listening."""
         self._server = await serve(self._listen, self._on_channel)
 
     async def on_stop(self) -> None:
-        """Stop listening and drop all channels."""
+        """Stop listening and abort all channels."""
         if self._server is not None:
             self._server.close()
-        # Those of replicas too, which would go on sending to who is gone.
-        for channel in self._open:
+        # Replica channels too, as their peers would keep sending to them.
+        for channel in self._channels:
             channel.abort()
 
-    def tell(self) -> None:
-        """Send the notice to everybody now."""
+    def send_notices(self) -> None:
+        """Send the current notice to all subscribers."""
         notice = self._notice()
-        for channel in self._told:
+        for channel in self._subscribers:
             channel.post(notice)
 
-    @mode.Service.timer(_NOTICE_S)
-    async def _tell_regularly(self) -> None:
-        self.tell()
+    @mode.Service.timer(_NOTICE_INTERVAL_S)
+    async def _send_notices_regularly(self) -> None:
+        self.send_notices()
 
     async def _on_channel(self, channel: Channel) -> None:
-        self._open.add(channel)
+        self._channels.add(channel)
         try:
             while True:
                 await self._on_message(channel, await channel.receive())
         finally:
-            self._open.discard(channel)
-            self._told.discard(channel)
+            self._channels.discard(channel)
+            self._subscribers.discard(channel)
 
     async def _on_message(self, channel: Channel, message: object) -> None:
         match message:
@@ -97,12 +97,12 @@
             case LinkProbe():
                 channel.post(LinkEcho())
             case CoreHello():
-                self._told.add(channel)
+                self._subscribers.add(channel)
                 channel.post(self._notice())
             case CallRequest():
                 task = asyncio.create_task(self._answer(channel, message))
-                self._calls.add(task)
-                task.add_done_callback(self._calls.discard)
+                self._call_tasks.add(task)
+                task.add_done_callback(self._call_tasks.discard)
 
     async def _answer(self, channel: Channel, request: CallRequest) -> None:
         reply = await self._on_call(request.call, request.hops_left)
--- a/src/wigeonreach/core/_settings.py
+++ b/src/wigeonreach/core/_settings.py
@@ -11,7 +11,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CoreSettings:
-    """Who a core process is and how it finds the others.
+    """Identity and configuration of a core process.
 
     Attributes
     ----------
@@ -20,19 +20,19 @@
     seeds
         Names of some core processes.
     is_first_start
-        Whether the whole system starts for the first time, so that there may
-        be no state yet; only then may the seeds found one.
+        Whether the whole system starts for the first time; only then may the
+        seeds found a new cluster without existing state.
     tolerated_losses
-        Disks that may be lost at once.
+        Number of disks that may be lost at the same time.
     api_port
-        Port on which workers reach any core process; 0 if there is none, as
-        workers find the leader by themselves.
+        Port on which workers reach any core process; 0 if there is none
+        because workers find the leader by themselves.
     order_pause_s
-        How long two holders' orders for one VM must be apart.
+        Minimum time between orders of two leaders for one VM.
     scheduling
-        What decisions about workers and VMs go by.
+        Settings of the scheduler.
     advertised
-        Address at which the others reach it, where that is not ``listen``.
+        Address at which the others reach it, if that is not ``listen``.
     """
 
     listen: Address
@@ -53,5 +53,5 @@
 
     @property
     def voter_target(self) -> int:
-        """Voters of whom so many losses leave a majority."""
+        """Number of voters that keep a majority after the tolerated losses."""
         return 2 * self.tolerated_losses + 1
--- a/src/wigeonreach/core/_term.py
+++ b/src/wigeonreach/core/_term.py
@@ -1,4 +1,4 @@
-"""Lead for one term: hear workers, decide, and answer them."""
+"""The leader's term: collects heartbeats, schedules and replies."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 from collections.abc import Sequence
 
 from wigeonreach.agreement import Agreement
-from wigeonreach.core._barrier import SharedBarrier
-from wigeonreach.core._clock import DayClock, steady_s
-from wigeonreach.core._term_load import TermLoad
+from wigeonreach.core._barrier import SharedReadBarrier
+from wigeonreach.core._clock import WallClock, steady_s
+from wigeonreach.core._cycle_stats import CycleStats
 from wigeonreach.core._term_log import TermLog
 from wigeonreach.exceptions import StateError
 from wigeonreach.jobs import (
@@ -33,39 +33,39 @@
 )
 from wigeonreach.wire._worker_messages import WorkerOrders, WorkerReport
 
-_TICK_S = 0.05
-# Longer than the status of a job that ended may be asked for (120 s).
-_KEEP_ENDED_S = 150.0
+_MAX_WAIT_S = 0.05
+# Longer than the status of an ended job may be queried (120 s).
+_ENDED_JOB_TTL_S = 150.0
 
 
 @dataclasses.dataclass(slots=True)
 class _Heartbeat:
-    """A heartbeat that waits for its answer."""
+    """A heartbeat that waits for its reply."""
 
     report: WorkerReport
-    came_s: float
-    answer: asyncio.Future[WorkerOrders | None]
+    received_s: float
+    reply: asyncio.Future[WorkerOrders | None]
     incarnation: Incarnation | None = None
 
-    def settle(self, orders: WorkerOrders | None) -> None:
-        """Answer, unless whoever waits has gone."""
-        if not self.answer.done():
-            self.answer.set_result(orders)
+    def resolve(self, orders: WorkerOrders | None) -> None:
+        """Set the reply unless the waiter has gone."""
+        if not self.reply.done():
+            self.reply.set_result(orders)
 
 
 class LeaderTerm:
-    """What a core process does while it leads.
+    """The work of a core process during one term as the leader.
 
     Parameters
     ----------
     agreement, store
-        The replicated state and how it is changed.
+        The replicated log and the state machine that it drives.
     term
-        Which this is.
-    settings, day_clock
-        What decisions go by.
+        Number of the term.
+    settings, wall_clock
+        Settings and wall clock of the scheduler.
     logger, metrics
-        Where decisions are logged and counted.
+        Log and count the decisions.
     """
 
     def __init__(
@@ -74,44 +74,44 @@
         store: JobStore,
         term: int,
         settings: SchedulingSettings,
-        day_clock: DayClock,
+        wall_clock: WallClock,
         logger: Logger,
         metrics: Metrics,
     ) -> None:
-        """Decide nothing before ``begin``."""
+        """Prepare; the scheduler is created by ``begin``."""
         self.term = term
-        self.barrier = SharedBarrier(agreement)
+        self.barrier = SharedReadBarrier(agreement)
         self.wake = asyncio.Event()
         self._agreement = agreement
         self._store = store
         self._settings = settings
-        self.day_clock = day_clock
+        self.wall_clock = wall_clock
         self._log = TermLog(store, logger, metrics)
         self._metrics = metrics
         self._scheduler: Scheduler | None = None
-        self._arrived: list[_Heartbeat] = []
-        self._held: list[_Heartbeat] = []
-        self._ended_s: dict[str, float] = {}
-        self._load = TermLoad(steady_s())
+        self._received: list[_Heartbeat] = []
+        self._pending: list[_Heartbeat] = []
+        self._first_seen_ended_s: dict[str, float] = {}
+        self._cycle_stats = CycleStats(steady_s())
 
     @property
     def scheduler(self) -> Scheduler:
-        """What decides; only there once the term began."""
+        """The scheduler; only available once the term has begun."""
         assert self._scheduler is not None
         return self._scheduler
 
     @property
     def has_begun(self) -> bool:
-        """Whether earlier leaders can record nothing any more."""
+        """Whether records of earlier leaders are rejected from now on."""
         return self._scheduler is not None
 
     async def propose(self, command: Command) -> Verdict:
-        """Replicate a command.
+        """Replicate a command and return its result.
 
         Raises
         ------
         StateError
-            If a quorum did not confirm: the command may still be applied.
+            If a quorum did not confirm; the command may still be applied.
         """
         encoded = encode_command(command)
         began_s = steady_s()
@@ -120,7 +120,7 @@
         return reply.verdict
 
     async def begin(self) -> None:
-        """Shut earlier leaders out, then start to decide.
+        """Fence off earlier leaders, then create the scheduler.
 
         Raises
         ------
@@ -133,110 +133,112 @@
             self.term,
             steady_s(),
             self._settings,
-            self.day_clock.now_ms(),
+            self.wall_clock.now_ms(),
         )
         self._log.term_began(self.term)
 
-    async def hear(self, report: WorkerReport) -> WorkerOrders | None:
-        """Take a heartbeat; return its answer, or None if there is none."""
+    async def receive_heartbeat(
+        self, report: WorkerReport
+    ) -> WorkerOrders | None:
+        """Queue a heartbeat; return its orders, or None without a reply."""
         heartbeat = _Heartbeat(report, steady_s(), asyncio.Future())
-        self._arrived.append(heartbeat)
+        self._received.append(heartbeat)
         self.wake.set()
-        return await heartbeat.answer
+        return await heartbeat.reply
 
-    def note_leaving(self, worker: str) -> None:
-        """Take note that a worker says that it ends."""
+    def mark_leaving(self, worker: str) -> None:
+        """Record that a worker announced its shutdown."""
         self.scheduler.workers.leave(worker, steady_s())
 
     async def run(self) -> None:
-        """Decide until cancelled."""
+        """Run scheduling cycles until cancelled."""
         try:
             while True:
                 await self._wait()
-                await self._cycle_safely()
+                await self._try_cycle()
         finally:
-            self._settle_all()
+            self._resolve_all()
 
     async def _wait(self) -> None:
         try:
-            async with asyncio.timeout(_TICK_S):
+            async with asyncio.timeout(_MAX_WAIT_S):
                 await self.wake.wait()
         except TimeoutError:
             return
         self.wake.clear()
 
-    async def _cycle_safely(self) -> None:
+    async def _try_cycle(self) -> None:
         try:
             await self._cycle()
         except StateError as error:
-            # The term may go on: only what waited now gets no answer.
-            waiting = len(self._arrived) + len(self._held)
+            # The term may continue: only the waiting heartbeats get no reply.
+            waiting = len(self._received) + len(self._pending)
             self._log.cycle_failed(self.term, str(error), waiting)
-            self._settle_all()
+            self._resolve_all()
 
     async def _cycle(self) -> None:
-        arrived = self._arrived
-        self._arrived = []
-        self._held.extend(arrived)
+        received = self._received
+        self._received = []
+        self._pending.extend(received)
         began_s = steady_s()
-        await self._decide(arrived, began_s)
+        await self._decide(received, began_s)
         took_s = steady_s() - began_s
         self._metrics.observe_s('cycle', took_s)
-        self._load.note(took_s, len(arrived))
-        figures = self._load.take_due(steady_s())
+        self._cycle_stats.record(took_s, len(received))
+        figures = self._cycle_stats.take_if_due(steady_s())
         if figures is not None:
-            self._log.load(self.term, figures)
+            self._log.cycle_stats(self.term, figures)
 
     async def _decide(
         self,
-        arrived: Sequence[_Heartbeat],
+        received: Sequence[_Heartbeat],
         now_s: float,
     ) -> None:
-        ends = self._hear_all(arrived, now_s)
+        ends = self._process_heartbeats(received, now_s)
         lost = self.scheduler.lost(now_s)
         crashes = self.scheduler.crashed(now_s)
-        self._log.reassigned(lost)
-        self._log.notes(self.scheduler.notes)
+        self._log.runs_reassigned(lost)
+        self._log.beliefs_changed(self.scheduler.notes)
         self.scheduler.notes.clear()
         await self._record_ends((*ends, *lost), crashes)
-        for heartbeat in arrived:
-            _note_ends(heartbeat)
-        starts = self.scheduler.plan(steady_s(), self.day_clock.now_ms())
+        for heartbeat in received:
+            _mark_ends_recorded(heartbeat)
+        starts = self.scheduler.plan(steady_s(), self.wall_clock.now_ms())
         await self._record_starts(starts)
-        if arrived and not ends and not starts:
+        if received and not ends and not starts:
             await self.barrier.wait()
-        self._answer(steady_s())
+        self._answer_pending(steady_s())
 
-    def _hear_all(
+    def _process_heartbeats(
         self,
-        arrived: Sequence[_Heartbeat],
+        received: Sequence[_Heartbeat],
         now_s: float,
     ) -> tuple[RunEnded, ...]:
         ends: list[RunEnded] = []
-        for heartbeat in arrived:
+        for heartbeat in received:
             known = self.scheduler.workers.incarnations.get(
                 heartbeat.report.worker
             )
-            heard = self.scheduler.hear(heartbeat.report, heartbeat.came_s)
+            heard = self.scheduler.hear(heartbeat.report, heartbeat.received_s)
             if heard is None:
-                self._note_ignored(heartbeat.report)
-                heartbeat.settle(WorkerOrders())
+                self._log_ignored(heartbeat.report)
+                heartbeat.resolve(WorkerOrders())
                 continue
             heartbeat.incarnation = heard.incarnation
             ends.extend(heard.ends)
             if heard.stalled:
-                self._log.stopped_stalled(heard)
+                self._log.runs_stopped(heard)
             if known is None:
-                self._log.joined(heartbeat.report)
-        self._metrics.count('heartbeats', amount=len(arrived))
+                self._log.worker_joined(heartbeat.report)
+        self._metrics.count('heartbeats', amount=len(received))
         return tuple(ends)
 
-    def _note_ignored(self, report: WorkerReport) -> None:
+    def _log_ignored(self, report: WorkerReport) -> None:
         if self.scheduler.is_foreign(report):
-            self._log.foreign(report)
+            self._log.heartbeat_foreign(report)
             return
         is_over = self.scheduler.workers.is_gone(report.worker)
-        self._log.late(report, is_over)
+        self._log.heartbeat_late(report, is_over)
 
     async def _record_ends(
         self,
@@ -280,56 +282,59 @@
         if verdict is Verdict.OUTDATED:
             raise asyncio.CancelledError
 
-    def _answer(self, now_s: float) -> None:
-        still_held: list[_Heartbeat] = []
-        for heartbeat in self._held:
-            if heartbeat.answer.done():
+    def _answer_pending(self, now_s: float) -> None:
+        still_pending: list[_Heartbeat] = []
+        for heartbeat in self._pending:
+            if heartbeat.reply.done():
                 continue
             orders = self._orders_due(heartbeat, now_s)
             if orders is None:
-                still_held.append(heartbeat)
+                still_pending.append(heartbeat)
             else:
-                heartbeat.settle(orders)
-        self._held = still_held
+                heartbeat.resolve(orders)
+        self._pending = still_pending
 
     def _orders_due(
         self,
         heartbeat: _Heartbeat,
         now_s: float,
     ) -> WorkerOrders | None:
-        """Return a worker's orders, or None to wait until there are some."""
+        """Return a worker's orders, or None to keep its heartbeat waiting."""
         incarnation = heartbeat.incarnation
         if incarnation is None:
             return WorkerOrders()
-        return self.scheduler.answers.due(incarnation, heartbeat.came_s, now_s)
+        return self.scheduler.answers.due(
+            incarnation, heartbeat.received_s, now_s
+        )
 
     async def forget_ended(self) -> None:
-        """Forget jobs that ended so long ago that nobody may ask."""
+        """Delete ended jobs whose status can't be queried any more."""
         now_s = steady_s()
         for job in self._store.jobs.values():
             if not job.is_active:
-                self._ended_s.setdefault(job.spec.job_id, now_s)
+                self._first_seen_ended_s.setdefault(job.spec.job_id, now_s)
         old = tuple(
             job_id
-            for job_id, ended_s in self._ended_s.items()
-            if now_s - ended_s > _KEEP_ENDED_S
+            for job_id, ended_s in self._first_seen_ended_s.items()
+            if now_s - ended_s > _ENDED_JOB_TTL_S
         )
         if old:
             await self.propose(ForgetJobs(old))
             for job_id in old:
-                self._ended_s.pop(job_id)
+                self._first_seen_ended_s.pop(job_id)
 
-    def _settle_all(self) -> None:
-        for heartbeat in (*self._arrived, *self._held):
-            heartbeat.settle(None)
-        self._arrived = []
-        self._held = []
+    def _resolve_all(self) -> None:
+        for heartbeat in (*self._received, *self._pending):
+            heartbeat.resolve(None)
+        self._received = []
+        self._pending = []
 
 
-def _note_ends(heartbeat: _Heartbeat) -> None:
-    """Take note that the ends a worker told of are recorded."""
+def _mark_ends_recorded(heartbeat: _Heartbeat) -> None:
+    """Mark the ends that a worker reported as recorded."""
     incarnation = heartbeat.incarnation
     if incarnation is not None:
-        # Of what it told: a repeated heartbeat may be of another writer.
+        # From the incarnation's own report: a repeated heartbeat may come from
+        # another writer.
         for ended in incarnation.report.ended:
             incarnation.noted = max(incarnation.noted, ended.number)
--- a/src/wigeonreach/core/_term_log.py
+++ b/src/wigeonreach/core/_term_log.py
@@ -1,10 +1,10 @@
-"""Log and count what a leader decides and comes to believe."""
+"""Log lines and metrics of the leader's decisions and beliefs."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 
-from wigeonreach.core._term_load import LoadFigures
+from wigeonreach.core._cycle_stats import CycleFigures
 from wigeonreach.jobs import (
     CrashEvidence,
     JobRecord,
@@ -23,14 +23,14 @@
 
 
 class TermLog:
-    """One line for each decision about a job, a run or a worker.
+    """Logs and counts each decision about a job, a run or a worker.
 
     Parameters
     ----------
     store
-        What the lines are about; it is only read.
+        The replicated state; only read here.
     logger, metrics
-        Where decisions are logged and counted.
+        Log and count the decisions.
     """
 
     def __init__(
@@ -39,13 +39,13 @@
         logger: Logger,
         metrics: Metrics,
     ) -> None:
-        """Log nothing yet."""
+        """Prepare; nothing is logged yet."""
         self._store = store
         self._log = logger
         self._metrics = metrics
 
     def term_began(self, term: int) -> None:
-        """Tell that this process decides now."""
+        """Log that this process has begun its term as the leader."""
         self._log.info(
             LogEvent.TERM_BEGAN,
             term=term,
@@ -53,20 +53,20 @@
             version=self._store.manifest.version,
         )
 
-    def load(self, term: int, figures: LoadFigures) -> None:
-        """Tell how long the cycles of some seconds took."""
+    def cycle_stats(self, term: int, figures: CycleFigures) -> None:
+        """Log the duration statistics of recent cycles."""
         self._log.info(
             LogEvent.TERM_LOAD,
             term=term,
             cycles=figures.cycles,
             heartbeats=figures.heartbeats,
-            half_ms=figures.half_ms,
+            half_ms=figures.median_ms,
             p99_ms=figures.p99_ms,
-            most_ms=figures.most_ms,
+            most_ms=figures.max_ms,
         )
 
     def cycle_failed(self, term: int, reason: str, heartbeats: int) -> None:
-        """Tell that a quorum did not confirm what a cycle decided."""
+        """Log that a quorum did not confirm the decisions of a cycle."""
         self._log.warning(
             LogEvent.CALL_FAILED,
             reason=reason,
@@ -74,8 +74,8 @@
             heartbeats=heartbeats,
         )
 
-    def joined(self, report: WorkerReport) -> None:
-        """Tell of the first heartbeat of a worker's incarnation."""
+    def worker_joined(self, report: WorkerReport) -> None:
+        """Log the first heartbeat of a worker incarnation."""
         self._log.info(
             LogEvent.WORKER_JOINED,
             worker=report.worker,
@@ -89,8 +89,8 @@
             running=len(report.running),
         )
 
-    def late(self, report: WorkerReport, is_over: bool) -> None:
-        """Tell of a heartbeat that was overtaken, or of a dead incarnation."""
+    def heartbeat_late(self, report: WorkerReport, is_over: bool) -> None:
+        """Log a heartbeat that is out of order or of a dead incarnation."""
         reason = 'incarnation-over' if is_over else 'overtaken'
         self._metrics.count('heartbeats_late', reason)
         self._log.info(
@@ -101,8 +101,8 @@
             reason=reason,
         )
 
-    def foreign(self, report: WorkerReport) -> None:
-        """Tell of a heartbeat that no worker of the manifest sent."""
+    def heartbeat_foreign(self, report: WorkerReport) -> None:
+        """Log a heartbeat for a service that the manifest does not name."""
         self._metrics.count('heartbeats_foreign')
         self._log.info(
             LogEvent.HEARTBEAT_FOREIGN,
@@ -111,8 +111,8 @@
             service=report.service,
         )
 
-    def stopped_stalled(self, heard: Heard) -> None:
-        """Tell of runs that are stopped as they make no progress."""
+    def runs_stopped(self, heard: Heard) -> None:
+        """Log runs that are stopped because they make no progress."""
         self._log.info(
             LogEvent.RUNS_STOPPED,
             reason='no progress',
@@ -120,8 +120,8 @@
             runs=[f'{task.job_id}/{run}' for task, run in heard.stalled],
         )
 
-    def notes(self, notes: Iterable[Note]) -> None:
-        """Tell of changed beliefs."""
+    def beliefs_changed(self, notes: Iterable[Note]) -> None:
+        """Log and count changed beliefs."""
         for note in notes:
             self._metrics.count('beliefs', note.event.name.lower())
             self._log.info(
@@ -130,8 +130,8 @@
                 reason=note.reason,
             )
 
-    def reassigned(self, lost: tuple[RunEnded, ...]) -> None:
-        """Tell of runs whose workers are over."""
+    def runs_reassigned(self, lost: tuple[RunEnded, ...]) -> None:
+        """Log runs that are reassigned because their workers are lost."""
         if lost:
             self._log.info(
                 LogEvent.RUNS_REASSIGNED,
@@ -140,7 +140,7 @@
             )
 
     def run_ended(self, ended: RunEnded) -> None:
-        """Count an end, and tell of one that is not a good one."""
+        """Count the end of a run, and log it unless the run is done."""
         self._metrics.count('runs_ended', ended.end.name.lower())
         if ended.end is RunEnd.DONE:
             return
@@ -155,11 +155,11 @@
         )
 
     def run_crashed(self, crashed: RunCrashed) -> None:
-        """Count a run whose worker crashed, and tell what that proves."""
+        """Count a run whose worker crashed, and log the evidence."""
         evidence = crashed.evidence.name.lower()
         self._metrics.count('runs_crashed', evidence)
         if crashed.evidence is CrashEvidence.UNSETTLED:
-            # Its end is told of at the same time.
+            # The end of the run is logged at the same time.
             return
         task = self._store.task_of(crashed.task)
         self._log.info(
@@ -170,7 +170,7 @@
         )
 
     def job_ended(self, job: JobRecord, took_s: float) -> None:
-        """Tell how a job ended, and by when it should have."""
+        """Log how a job ended, its duration and its time objective."""
         self._metrics.observe_s('accepted_to_end', took_s)
         self._log.info(
             LogEvent.JOB_ENDED,
@@ -182,7 +182,7 @@
         )
 
     def runs_ordered(self, starts: tuple[RunStarted, ...]) -> None:
-        """Tell of runs that are recorded and about to be ordered."""
+        """Log runs that are recorded and about to be sent to workers."""
         self._metrics.count('runs_ordered', amount=len(starts))
         self._log.info(
             LogEvent.RUNS_ORDERED,
--- a/src/wigeonreach/core/_vm_actions.py
+++ b/src/wigeonreach/core/_vm_actions.py
@@ -1,4 +1,4 @@
-"""Carry out what the waves and pools need, as the leader."""
+"""Send the VM orders for waves and pools while leading."""
 
 from __future__ import annotations
 
@@ -23,30 +23,30 @@
 from wigeonreach.scheduling._vms import OrderResult, VmApi
 from wigeonreach.scheduling.pooling import Move
 
-_ROUND_S = 0.1
-_LIST_S = 1.0
-# Without a wave, the list only tells which VMs stand by.
-_STANDBY_LIST_S = 4.0
-# How often is recorded which orders are over; a small part of the time for
-# which they hold a VM.
-_TOLD_S = 0.4
+_POLL_INTERVAL_S = 0.1
+_LIST_INTERVAL_S = 1.0
+# Without a wave, the list only shows which VMs are on standby.
+_STANDBY_LIST_INTERVAL_S = 4.0
+# Interval for recording which orders are answered; a small part of the time for
+# which an order holds its VM.
+_REPORT_INTERVAL_S = 0.4
 
 
 class VmActions:
-    """Maintain the VMs of waves and move VMs between pools.
+    """Maintains the VMs of waves and moves VMs between pools.
 
     Parameters
     ----------
     term
-        Under which orders are given.
+        The leader's term.
     store
-        The replicated state; it is only read here.
+        The replicated state; only read here.
     api
-        The platform.
+        The platform API.
     orders
-        How orders are given.
+        Sends the orders.
     logger, metrics
-        Where decisions are logged and counted.
+        Log and count the decisions.
     """
 
     def __init__(
@@ -58,51 +58,53 @@
         logger: Logger,
         metrics: Metrics,
     ) -> None:
-        """Order nothing yet."""
+        """Prepare; no order is sent before ``run``."""
         self._term = term
         self._store = store
         self._api = api
         self._orders = orders
         self._log = logger
         self._metrics = metrics
-        self._listed_s = float('-inf')
-        self._told_s = float('-inf')
+        self._last_listed_s = float('-inf')
+        self._last_reported_s = float('-inf')
 
     async def run(self) -> None:
-        """Follow waves and pools until cancelled."""
+        """Maintain and move VMs until cancelled."""
         try:
             async with asyncio.TaskGroup() as group:
-                group.create_task(self._follow_list())
-                group.create_task(self._follow_orders())
+                group.create_task(self._list_regularly())
+                group.create_task(self._order_regularly())
         finally:
             self._orders.stop()
 
-    async def _follow_orders(self) -> None:
+    async def _order_regularly(self) -> None:
         while True:
-            await asyncio.sleep(_ROUND_S)
+            await asyncio.sleep(_POLL_INTERVAL_S)
             await self._maintain()
-            await self._move_safely()
+            await self._try_move()
 
-    async def _follow_list(self) -> None:
-        # Beside the orders: a platform that takes its time over a list would
-        # hold each of them up for as long, up to 2 s a page.
+    async def _list_regularly(self) -> None:
+        # Concurrent with the orders: a slow platform takes up to 2 s for each
+        # page of the list, which would delay every order.
         while True:
-            await asyncio.sleep(_ROUND_S)
+            await asyncio.sleep(_POLL_INTERVAL_S)
             await self._list_if_due()
 
     async def _list_if_due(self) -> None:
         scheduler = self._term.scheduler
         needs_wave = scheduler.maintenance.needs_list
-        pause_s = _LIST_S if needs_wave else _STANDBY_LIST_S
-        asked_s = steady_s()
+        interval_s = (
+            _LIST_INTERVAL_S if needs_wave else _STANDBY_LIST_INTERVAL_S
+        )
+        now_s = steady_s()
         is_needed = needs_wave or bool(scheduler.pools.vms.standby_pool)
-        if not is_needed or asked_s - self._listed_s < pause_s:
+        if not is_needed or now_s - self._last_listed_s < interval_s:
             return
-        self._listed_s = asked_s
+        self._last_listed_s = now_s
         vms = await self._api.list_vms()
         self._metrics.count('platform_calls', 'list')
         if vms is not None:
-            scheduler.maintenance.note_vms(vms, asked_s)
+            scheduler.maintenance.note_vms(vms, now_s)
             scheduler.pools.note_vms(vms)
 
     async def _maintain(self) -> None:
@@ -112,37 +114,37 @@
         step = scheduler.maintenance.step(
             scheduler.stopping,
             steady_s(),
-            self._orders.held(),
+            self._orders.held_vms(),
         )
         if step.stops:
             scheduler.stopping.update(step.stops)
             self._term.wake.set()
         for wave, vm in step.returned:
-            await self._record_safely(wave, vm, VmStep.DONE)
+            await self._try_record(wave, vm, VmStep.DONE)
         for wave, vm, worker in step.orders:
-            if self._orders.is_free(vm):
+            if self._orders.may_order(vm):
                 scheduler.crashes.note_vm_ordered(vm, worker, steady_s())
                 self._orders.start(
                     vm,
-                    functools.partial(self._maintain_vm, wave, vm, worker),
+                    functools.partial(self._send_maintenance, wave, vm, worker),
                 )
 
-    async def _move_safely(self) -> None:
+    async def _try_move(self) -> None:
         try:
             await self._move()
         except StateError as error:
-            # What was not recorded is not ordered, but found again.
+            # A move that was not recorded is not sent; the next round retries.
             self._log.warning(LogEvent.CALL_FAILED, reason=str(error))
 
     async def _move(self) -> None:
-        held = self._orders.held()
+        held = self._orders.held_vms()
         moves = [
             move
             for move in self._term.scheduler.moves(steady_s(), held)
-            if self._orders.is_free(move.vm)
+            if self._orders.may_order(move.vm)
         ]
-        # First recorded, so that a next leader knows of them.
-        record = self._record_of(moves)
+        # Recorded before they are sent, so that the next leader knows of them.
+        record = self._build_record(moves)
         if not (record.vms or record.settled or record.answered):
             return
         if await self._term.propose(record) is not Verdict.DONE:
@@ -153,29 +155,32 @@
                 move.worker,
                 steady_s(),
             )
-            self._orders.start(move.vm, functools.partial(self._move_vm, move))
+            self._orders.start(
+                move.vm, functools.partial(self._send_move, move)
+            )
 
-    def _record_of(self, moves: Collection[Move]) -> RecordVmOrders:
-        """Return what is to be replicated of the VMs now."""
+    def _build_record(self, moves: Collection[Move]) -> RecordVmOrders:
+        """Return the record of new moves and, at intervals, of answers."""
         record = RecordVmOrders(
             self._term.term,
             tuple(move.vm for move in moves),
             workers=tuple(move.worker for move in moves),
         )
         now_s = steady_s()
-        if now_s - self._told_s < _TOLD_S:
+        if now_s - self._last_reported_s < _REPORT_INTERVAL_S:
             return record
-        self._told_s = now_s
+        self._last_reported_s = now_s
         return msgspec.structs.replace(
             record,
-            settled=self._orders.settled(),
-            answered=self._orders.take_answered(),
+            settled=self._orders.settled_vms(),
+            answered=self._orders.take_unreported_answers(),
         )
 
-    async def _maintain_vm(self, wave: int, vm: str, worker: str) -> None:
-        # First recorded, so that a next leader knows it may be down.
+    async def _send_maintenance(self, wave: int, vm: str, worker: str) -> None:
+        # Recorded before it is sent, so that the next leader knows that the VM
+        # may be down.
         await self._record(wave, vm, VmStep.ORDERED, worker)
-        result = await self._orders.give(
+        result = await self._orders.send(
             vm,
             'maintain',
             lambda: self._api.maintain(vm, wave, self._term.term),
@@ -189,8 +194,8 @@
         elif result is OrderResult.IMPOSSIBLE:
             await self._record(wave, vm, VmStep.GONE)
 
-    async def _move_vm(self, move: Move) -> None:
-        result = await self._orders.give(
+    async def _send_move(self, move: Move) -> None:
+        result = await self._orders.send(
             move.vm,
             'move',
             lambda: self._api.move(move.vm, move.to_pool, self._term.term),
@@ -213,11 +218,11 @@
         elif result is not OrderResult.UNKNOWN:
             scheduler.pools.note_failed(move)
 
-    async def _record_safely(self, wave: int, vm: str, step: VmStep) -> None:
+    async def _try_record(self, wave: int, vm: str, step: VmStep) -> None:
         try:
             await self._record(wave, vm, step)
         except StateError as error:
-            # It is seen again in the next round.
+            # The next round detects and records it again.
             self._log.warning(
                 LogEvent.CALL_FAILED,
                 wave=wave,
--- a/src/wigeonreach/core/_vm_holds.py
+++ b/src/wigeonreach/core/_vm_holds.py
@@ -1,10 +1,11 @@
-"""Tell which VMs a new leader may not order yet.
-
-Two leaders' orders for one VM have to be apart by the platform's time.  What a
-leader is about to order is replicated first, so that each process knows which
-VMs may have been ordered lately, and only those wait after a change of leader.
-That an order was answered is replicated too, which holds its VM for less; and
-that this is long enough ago, as a restart does not know the age of an order.
+"""Track which VMs a new leader may not send orders for yet.
+
+The platform requires a minimum time between orders of two leaders for one VM.
+Orders are replicated before they are sent, so that each process knows which VMs
+may have had a recent order; only those are held after a change of leader.
+The reply to an order is replicated too, which shortens the hold.  Orders answered
+long enough ago are replicated as settled, as a restarted process does not know
+the age of an order.
 """
 
 from __future__ import annotations
@@ -12,86 +13,89 @@
 from wigeonreach.jobs import JobStore
 from wigeonreach.scheduling._vms import ORDER_LASTS_S
 
-# Clocks and answers are late by less.
+# Upper bound of the delay of clocks and replies.
 _MARGIN_S = 0.5
 
 
 class VmHolds:
-    """When each VM may be ordered by another leader than before.
+    """Determines when a new leader may send orders for each VM.
 
     Parameters
     ----------
     store
-        Which VMs were ordered; its news is taken from it.
+        The replicated state; ``refresh`` clears its sets of new orders.
     pause_s
-        How long two leaders' orders for one VM must be apart.
+        Minimum time in seconds between orders of two leaders for one VM.
     """
 
     def __init__(self, store: JobStore, pause_s: float) -> None:
-        """Know of no order."""
+        """Start without any orders."""
         self._store = store
-        self._apart_s = pause_s + _MARGIN_S
-        # Since when each order is known here, and that it was answered.
+        self._min_gap_s = pause_s + _MARGIN_S
+        # When this process learned of each order, and of the reply to it.
         self._recorded_s: dict[str, float] = {}
-        self._over_s: dict[str, float] = {}
-        # The answers to this process's own orders, and which are replicated.
+        self._answer_recorded_s: dict[str, float] = {}
+        # When this process's own orders were answered, and which of these
+        # answers were handed out for replication.
         self._answered_s: dict[str, float] = {}
-        self._told: set[str] = set()
+        self._reported: set[str] = set()
 
     def begin_term(self, now_s: float) -> None:
-        """Take note that this process leads from now on."""
+        """Reset the answers to own orders at the beginning of a term."""
         self._answered_s.clear()
-        self._told.clear()
+        self._reported.clear()
         self.refresh(now_s)
 
-    def note_begun(self, vm: str) -> None:
-        """Take note that this process begins to order a VM."""
+    def note_order_started(self, vm: str) -> None:
+        """Record that this process starts to send an order for a VM."""
         self._answered_s.pop(vm, None)
-        self._told.discard(vm)
+        self._reported.discard(vm)
 
-    def note_answered(self, vm: str, now_s: float) -> None:
-        """Take note that what was ordered is done, or refused for good."""
+    def note_order_answered(self, vm: str, now_s: float) -> None:
+        """Record that the order for a VM is done or finally refused."""
         self._answered_s[vm] = now_s
 
-    def take_answered(self) -> tuple[str, ...]:
-        """Return the VMs whose answers are to be replicated; take them so."""
-        news = tuple(self._answered_s.keys() - self._told)
-        self._told.update(news)
-        return news
+    def take_unreported_answers(self) -> tuple[str, ...]:
+        """Return VMs with answers to replicate, each answer only once."""
+        unreported = tuple(self._answered_s.keys() - self._reported)
+        self._reported.update(unreported)
+        return unreported
 
-    def settled(self, now_s: float) -> tuple[str, ...]:
-        """Return the VMs that any leader may order again, by own orders."""
+    def settled_vms(self, now_s: float) -> tuple[str, ...]:
+        """Return VMs whose own order was answered long enough ago."""
         return tuple(
             vm
             for vm, answered_s in self._answered_s.items()
-            if now_s >= answered_s + self._apart_s
+            if now_s >= answered_s + self._min_gap_s
             and vm in self._store.vm_orders
         )
 
     def refresh(self, now_s: float) -> None:
-        """Take note of the orders that were recorded since the last call.
+        """Process the orders and answers recorded since the last call.
 
-        They are older than that, which holds VMs for longer, not shorter.
+        They are counted from now on although they are older, so that VMs are
+        held for longer, never for less.
         """
         for vm in self._store.newly_ordered:
             self._recorded_s[vm] = now_s
-            self._over_s.pop(vm, None)
+            self._answer_recorded_s.pop(vm, None)
         for answered in self._store.newly_answered:
-            self._over_s[answered] = now_s
+            self._answer_recorded_s[answered] = now_s
         self._store.newly_ordered.clear()
         self._store.newly_answered.clear()
         for settled in self._recorded_s.keys() - self._store.vm_orders:
             self._recorded_s.pop(settled)
-            self._over_s.pop(settled, None)
+            self._answer_recorded_s.pop(settled, None)
             self._answered_s.pop(settled, None)
 
-    def held(self, began_s: float, now_s: float) -> set[str]:
-        """Return the VMs that the leader of a term may not order yet.
+    def held_vms(self, began_s: float, now_s: float) -> set[str]:
+        """Return the VMs that the leader of a term may not send orders for.
 
         Parameters
         ----------
         began_s
-            When its term began: no earlier leader gives an order after that.
+            Clock at the beginning of the term, in seconds: no earlier leader
+            sends an order after that.
         now_s
             Clock in seconds.
         """
@@ -100,17 +104,17 @@
         }
 
     def is_held(self, vm: str, began_s: float, now_s: float) -> bool:
-        """Whether one VM is among those ``held``."""
-        if now_s >= began_s + self._apart_s:
+        """Whether a VM is among the ``held_vms``."""
+        if now_s >= began_s + self._min_gap_s:
             return False
         recorded_s = self._recorded_s.get(vm)
         if recorded_s is None or recorded_s > began_s:
             return False
-        return now_s < self._free_s(vm)
-
-    def _free_s(self, vm: str) -> float:
-        """Return when any leader may order a VM again."""
-        over_s = self._over_s.get(vm)
-        if over_s is None:
-            over_s = self._recorded_s[vm] + ORDER_LASTS_S
-        return over_s + self._apart_s
+        return now_s < self._held_until_s(vm)
+
+    def _held_until_s(self, vm: str) -> float:
+        """Return the time at which any leader may send an order for a VM."""
+        answered_s = self._answer_recorded_s.get(vm)
+        if answered_s is None:
+            answered_s = self._recorded_s[vm] + ORDER_LASTS_S
+        return answered_s + self._min_gap_s
--- a/src/wigeonreach/core/_vm_orders.py
+++ b/src/wigeonreach/core/_vm_orders.py
@@ -1,4 +1,4 @@
-"""Give the platform orders for VMs, one at a time for each, as the leader."""
+"""Send orders for VMs to the platform, one at a time for each VM."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 
 
 class VmOrders:
-    """The orders of one term.
+    """Sends and tracks the orders of one term.
 
     Parameters
     ----------
     term
-        Under which orders are given.
+        The leader's term.
     holds
-        Which VMs an earlier leader may have ordered lately.
+        Tracks the VMs with recent orders of earlier leaders.
     logger, metrics
-        Where orders are logged and counted.
+        Log and count the orders.
     """
 
     def __init__(
@@ -37,7 +37,7 @@
         logger: Logger,
         metrics: Metrics,
     ) -> None:
-        """Order nothing yet."""
+        """Begin a term without any orders."""
         self._term = term
         self._holds = holds
         self._began_s = steady_s()
@@ -45,79 +45,79 @@
         self._log = logger
         self._metrics = metrics
         self._running: dict[str, asyncio.Task[None]] = {}
-        self._retry_s: dict[str, float] = {}
+        self._retry_at_s: dict[str, float] = {}
 
-    def held(self) -> set[str]:
-        """Return the VMs that an earlier leader may have ordered lately."""
-        return self._holds.held(self._began_s, steady_s())
+    def held_vms(self) -> set[str]:
+        """Return the VMs held for a recent order of an earlier leader."""
+        return self._holds.held_vms(self._began_s, steady_s())
 
-    def settled(self) -> tuple[str, ...]:
-        """Return the VMs whose last order is over for long."""
-        settled = self._holds.settled(steady_s())
+    def settled_vms(self) -> tuple[str, ...]:
+        """Return the VMs whose last order was answered long enough ago."""
+        settled = self._holds.settled_vms(steady_s())
         return tuple(vm for vm in settled if vm not in self._running)
 
-    def take_answered(self) -> tuple[str, ...]:
+    def take_unreported_answers(self) -> tuple[str, ...]:
         """Return the VMs whose orders were answered since the last call."""
-        return self._holds.take_answered()
+        return self._holds.take_unreported_answers()
 
-    def is_free(self, vm: str) -> bool:
-        """Whether an order for a VM may be given now."""
+    def may_order(self, vm: str) -> bool:
+        """Whether an order for a VM may be sent now."""
         now_s = steady_s()
         if vm in self._running:
             return False
         if self._holds.is_held(vm, self._began_s, now_s):
             return False
-        return now_s >= self._retry_s.get(vm, 0)
+        return now_s >= self._retry_at_s.get(vm, 0)
 
     def start(self, vm: str, order: Callable[[], Awaitable[None]]) -> None:
-        """Carry an order out beside all others."""
-        self._holds.note_begun(vm)
+        """Run an order concurrently with those for other VMs."""
+        self._holds.note_order_started(vm)
         task = asyncio.create_task(self._run(vm, order))
         self._running[vm] = task
         task.add_done_callback(lambda _: self._running.pop(vm, None))
 
-    async def give(
+    async def send(
         self,
         vm: str,
         kind: str,
         order: Order,
-        **why: object,
+        **reasons: object,
     ) -> OrderResult:
-        """Send an order, once it is sure that this process still leads.
+        """Send an order after confirming that this process still leads.
 
         Parameters
         ----------
         vm, kind
-            What is ordered for which VM.
+            The VM and the kind of order, for logs and metrics.
         order
-            Sends it.
-        why
-            What decided it, for the log.
+            Sends the order and returns its result.
+        reasons
+            Reasons for the order, logged as fields.
 
         Raises
         ------
         StateError
-            If that can't be confirmed; nothing was sent then.
+            If leadership was not confirmed; nothing was sent in this case.
         """
         await self._term.barrier.wait()
         result = await order()
         self._metrics.count('vm_orders', f'{kind}-{result.value}')
         if result is not OrderResult.UNKNOWN:
-            self._holds.note_answered(vm, steady_s())
+            self._holds.note_order_answered(vm, steady_s())
         if result is OrderResult.DONE:
             self._log.info(
                 LogEvent.VM_ORDERED,
                 vm=vm,
                 kind=kind,
                 fence=self._term.term,
-                **why,
+                **reasons,
             )
         else:
             self._note_failure(vm, kind, result.value)
         return result
 
     def stop(self) -> None:
-        """Drop what is under way."""
+        """Cancel all running orders."""
         for task in self._running.values():
             task.cancel()
 
@@ -128,7 +128,7 @@
             self._note_failure(vm, 'confirm', str(error))
 
     def _note_failure(self, vm: str, kind: str, reason: str) -> None:
-        self._retry_s[vm] = steady_s() + _RETRY_S
+        self._retry_at_s[vm] = steady_s() + _RETRY_S
         self._log.warning(
             LogEvent.VM_ORDER_FAILED,
             vm=vm,
--- a/tests/builders_core.py
+++ b/tests/builders_core.py
@@ -1,4 +1,4 @@
-"""Run core processes and callers in one event loop."""
+"""Run a cluster of core processes and a gateway in one event loop."""
 
 from __future__ import annotations
 
@@ -22,32 +22,32 @@
 from wigeonreach.wire._call_messages import AnyCall, PutManifest
 from wigeonreach.wire._call_replies import AnyReply, Done
 
-# Far above what anything here takes; it only ends a test that hangs.
-_PATIENCE_S = 30.0
-_CALL_S = 3.0
+# Far longer than any test takes; it only ends a test that hangs.
+_TEST_TIMEOUT_S = 30.0
+_CALL_TIMEOUT_S = 3.0
 
 
 class FakeVms:
-    """A platform that carries every order out at once."""
+    """A platform and advisor that accept every order and worker at once."""
 
     def __init__(self) -> None:
-        """Have no orders."""
+        """Start without orders and with ``list_vms`` allowed."""
         self.orders: list[tuple[str, str, int]] = []
-        self.lists = asyncio.Event()
-        self.lists.set()
+        self.list_allowed = asyncio.Event()
+        self.list_allowed.set()
 
     async def list_vms(self) -> tuple[VmRecord, ...] | None:
-        """Return no VM, once it lists."""
-        await self.lists.wait()
+        """Return no VMs once ``list_allowed`` is set."""
+        await self.list_allowed.wait()
         return ()
 
     async def maintain(self, vm: str, wave: int, fence: int) -> OrderResult:
-        """Take an order."""
+        """Store a maintenance order."""
         self.orders.append((vm, f'wave {wave}', fence))
         return OrderResult.DONE
 
     async def move(self, vm: str, pool: str, fence: int) -> OrderResult:
-        """Take an order."""
+        """Store a move order."""
         self.orders.append((vm, pool, fence))
         return OrderResult.DONE
 
@@ -57,7 +57,7 @@
 
 
 def free_addresses(count: int) -> list[str]:
-    """Return loopback addresses that nobody listens on."""
+    """Return loopback addresses with free ports."""
     sockets = [socket.socket() for _ in range(count)]
     for opened in sockets:
         opened.bind(('127.0.0.1', 0))
@@ -68,16 +68,16 @@
 
 
 class CoreCluster:
-    """Core processes of one system, and a gateway to them.
+    """Three core processes of one system, and a gateway to them.
 
     Parameters
     ----------
     folder
-        Where their disks are.
+        Parent folder of their data folders.
     """
 
     def __init__(self, folder: pathlib.Path) -> None:
-        """Start nothing yet."""
+        """Choose the addresses; no process is started yet."""
         self.names = free_addresses(3)
         self.cores: dict[str, Core] = {}
         self.vms = FakeVms()
@@ -90,7 +90,7 @@
         )
 
     async def start(self, name: str, is_first_start: bool = False) -> None:
-        """Start one process on its disk."""
+        """Start one process with its own data folder."""
         settings = CoreSettings(
             listen=parse_address(name, 'listen'),
             zone='a',
@@ -107,20 +107,20 @@
         await core.start()
 
     async def stop(self, name: str) -> None:
-        """End one process."""
+        """Stop one process."""
         await self.cores.pop(name).stop()
 
     async def stop_all(self) -> None:
-        """End everything."""
+        """Stop the gateway and all processes."""
         await self.gateway.stop()
         for name in list(self.cores):
             await self.stop(name)
 
     def fill_disk(self, name: str) -> mock._patch[mock.Mock]:
-        """Return what makes one process's disk refuse writes."""
-        refusal = OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
-        disk = self.cores[name]._disk  # noqa: SLF001 - it has no other face
-        return mock.patch.object(disk, 'append', side_effect=refusal)
+        """Return a patch that makes one process's disk report that it is full."""
+        disk_full = OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
+        disk = self.cores[name]._disk  # noqa: SLF001 - there is no public access
+        return mock.patch.object(disk, 'append', side_effect=disk_full)
 
     async def leader(self) -> str:
         """Wait for a leader and return its name."""
@@ -131,15 +131,15 @@
             await asyncio.sleep(0.02)
 
     async def call(self, call: AnyCall) -> AnyReply:
-        """Make a call until it has an effect."""
+        """Repeat a call until its outcome is known."""
         while True:
-            reply = await self.gateway.call(call, _CALL_S)
+            reply = await self.gateway.call(call, _CALL_TIMEOUT_S)
             if type(reply).__name__ not in {'NotDone', 'Unknown'}:
                 return reply
 
 
 def run_cluster(body: Callable[[CoreCluster], Awaitable[None]]) -> None:
-    """Run a body with three processes that have a manifest."""
+    """Run a test body with three core processes that have a manifest."""
     with tempfile.TemporaryDirectory() as folder:
         asyncio.run(_run(body, pathlib.Path(folder)))
 
@@ -150,7 +150,7 @@
 ) -> None:
     cluster = CoreCluster(folder)
     try:
-        async with asyncio.timeout(_PATIENCE_S):
+        async with asyncio.timeout(_TEST_TIMEOUT_S):
             await cluster.gateway.start()
             for name in cluster.names:
                 await cluster.start(name, is_first_start=True)
--- a/tests/core/test_daemon.py
+++ b/tests/core/test_daemon.py
@@ -1,4 +1,4 @@
-"""Test core processes together, over real channels on loopback."""
+"""Test a cluster of core processes over real loopback connections."""
 
 from __future__ import annotations
 
@@ -36,10 +36,10 @@
 )
 
 _HOST = 'club.example'
-_PLACE = (_HOST, f'/bookings/{JOB}')
+_JOB_PATH = (_HOST, f'/bookings/{JOB}')
 
 
-async def _beat(cluster: CoreCluster, worker: StandInWorker) -> None:
+async def _send_heartbeat(cluster: CoreCluster, worker: StandInWorker) -> None:
     reply = await cluster.call(HearWorker(worker.report()))
     assert isinstance(reply, Orders), reply
     worker.obey(reply.orders, percent=1)
@@ -48,46 +48,46 @@
 class TestCores(testtools.TestCase):
     """Three core processes."""
 
-    def test_job_runs_and_is_shown_completed(self) -> None:
-        """From its submission over one worker to its end."""
+    def test_job_runs_to_completion(self) -> None:
+        """From its submission to its end on one worker."""
 
         async def body(cluster: CoreCluster) -> None:
             worker = StandInWorker('w', 'vm')
-            await cluster.call(SubmitJob(*_PLACE, job(step(1))))
+            await cluster.call(SubmitJob(*_JOB_PATH, job(step(1))))
             while not worker.running:
-                await _beat(cluster, worker)
-            shown = await cluster.call(ReadJob(*_PLACE))
+                await _send_heartbeat(cluster, worker)
+            status = await cluster.call(ReadJob(*_JOB_PATH))
             self.assertThat(
-                shown,
+                status,
                 matchers.Equals(JobState(JobPhase.ACTIVE, has_started=True)),
             )
             worker.end((key(), 1), RunEnd.DONE)
             while worker.ended:
-                await _beat(cluster, worker)
-            shown = await cluster.call(ReadJob(*_PLACE))
+                await _send_heartbeat(cluster, worker)
+            status = await cluster.call(ReadJob(*_JOB_PATH))
             self.assertThat(
-                shown,
+                status,
                 matchers.Equals(JobState(JobPhase.COMPLETED, True)),
             )
 
         run_cluster(body)
 
-    def test_accepted_work_survives_its_leader(self) -> None:
-        """Another process leads, and knows job, run and manifest."""
+    def test_accepted_work_survives_a_leader_change(self) -> None:
+        """The next leader knows the job, its run and the manifest."""
 
         async def body(cluster: CoreCluster) -> None:
             worker = StandInWorker('w', 'vm')
-            await cluster.call(SubmitJob(*_PLACE, job(step(1))))
+            await cluster.call(SubmitJob(*_JOB_PATH, job(step(1))))
             while not worker.running:
-                await _beat(cluster, worker)
+                await _send_heartbeat(cluster, worker)
             first = await cluster.leader()
             await cluster.stop(first)
-            await _beat(cluster, worker)
+            await _send_heartbeat(cluster, worker)
             self.assertThat(
                 list(worker.running),
                 matchers.Equals([(key(), 1)]),
             )
-            again = await cluster.call(SubmitJob(*_PLACE, job(step(1))))
+            again = await cluster.call(SubmitJob(*_JOB_PATH, job(step(1))))
             self.assertThat(again, matchers.Equals(Done()))
             await cluster.start(first)
             text = await cluster.call(ReadManifest())
@@ -98,8 +98,8 @@
 
         run_cluster(body)
 
-    def test_stopping_leader_hands_over(self) -> None:
-        """A leader that drains leads no more when it is done."""
+    def test_draining_leader_hands_over(self) -> None:
+        """A leader has given up leadership once it is drained."""
 
         async def body(cluster: CoreCluster) -> None:
             first = await cluster.leader()
@@ -108,12 +108,12 @@
                 cluster.cores[first].is_leading,
                 matchers.Is(False),
             )
-            await cluster.call(SubmitJob(*_PLACE, job(step(1))))
+            await cluster.call(SubmitJob(*_JOB_PATH, job(step(1))))
 
         run_cluster(body)
 
-    def test_calls_that_name_nothing(self) -> None:
-        """Unknown queues, jobs and ids get their own answers."""
+    def test_calls_with_unknown_names(self) -> None:
+        """Unknown queues and jobs and invalid IDs get distinct replies."""
 
         async def body(cluster: CoreCluster) -> None:
             elsewhere = (_HOST, '/elsewhere/1')
@@ -122,8 +122,8 @@
                 (SubmitJob(*elsewhere, job()), NotFound),
                 (ReadJob(*elsewhere), NotFound),
                 (SubmitJob(*bad_id, job()), Invalid),
-                (ReadJob(*_PLACE), NoSuchJob),
-                (CancelJobCall(*_PLACE), NoSuchJob),
+                (ReadJob(*_JOB_PATH), NoSuchJob),
+                (CancelJobCall(*_JOB_PATH), NoSuchJob),
                 (ReadJob(_HOST, '/bookings/'), WaitingJobs),
             )
             for call, reply_type in expected:
@@ -134,8 +134,8 @@
 
         run_cluster(body)
 
-    def test_older_manifest_changes_nothing(self) -> None:
-        """It is acknowledged, and the newest is read back."""
+    def test_older_manifest_is_ignored(self) -> None:
+        """It is acknowledged, and the newest manifest is returned."""
 
         async def body(cluster: CoreCluster) -> None:
             newer = manifest(version=9)
@@ -152,37 +152,37 @@
         run_cluster(body)
 
     def test_idle_vm_of_a_wave_is_ordered_once(self) -> None:
-        """The order carries the leader's term as its fence."""
+        """A wave sends one maintenance order for an idle VM."""
 
         async def body(cluster: CoreCluster) -> None:
             worker = StandInWorker('w', 'vm')
-            await _beat(cluster, worker)
+            await _send_heartbeat(cluster, worker)
             await cluster.call(StartWaveCall(1, ('vm',), 20, 1))
             while not cluster.vms.orders:
-                await _beat(cluster, worker)
+                await _send_heartbeat(cluster, worker)
             self.assertThat(cluster.vms.orders, matchers.HasLength(1))
             vm, what, _ = cluster.vms.orders[0]
             self.assertThat((vm, what), matchers.Equals(('vm', 'wave 1')))
 
         run_cluster(body)
 
-    def test_platform_that_lists_slowly_holds_up_no_order(self) -> None:
-        """What a list would tell of others is not waited for."""
+    def test_slow_vm_list_does_not_delay_orders(self) -> None:
+        """Orders do not wait for a list that never returns."""
 
         async def body(cluster: CoreCluster) -> None:
-            cluster.vms.lists.clear()
+            cluster.vms.list_allowed.clear()
             worker = StandInWorker('w', 'vm')
-            await _beat(cluster, worker)
+            await _send_heartbeat(cluster, worker)
             await cluster.call(StartWaveCall(1, ('vm', 'unheard'), 20, 2))
             while not cluster.vms.orders:
-                await _beat(cluster, worker)
+                await _send_heartbeat(cluster, worker)
             ordered = [vm for vm, _, _ in cluster.vms.orders]
             self.assertThat(ordered, matchers.Equals(['vm']))
 
         run_cluster(body)
 
-    def test_read_that_takes_too_long_is_given_up(self) -> None:
-        """It is not passed on to others for as long again."""
+    def test_slow_read_times_out(self) -> None:
+        """It is not forwarded, which would take as long again."""
 
         async def body(cluster: CoreCluster) -> None:
             core = cluster.cores[await cluster.leader()]
@@ -194,10 +194,10 @@
             gateway = core._gateway
             with (
                 mock.patch.object(core, '_answer', never),
-                mock.patch.object(gateway, 'call') as passed_on,
+                mock.patch.object(gateway, 'call') as forwarded,
             ):
                 reply = await core.call(ReadManifest(), 0.05)
             self.assertThat(reply, matchers.Equals(Unknown()))
-            self.assertThat(passed_on.call_count, matchers.Equals(0))
+            self.assertThat(forwarded.call_count, matchers.Equals(0))
 
         run_cluster(body)
--- a/tests/core/test_full_disks.py
+++ b/tests/core/test_full_disks.py
@@ -1,7 +1,7 @@
-"""Test that full disks hold up nothing that a quorum can do without them.
+"""Test that full disks do not block what a quorum can do without them.
 
-Pattern: disks of core processes fill without a sign, at any moment, while jobs are
-handed in and workers go on.
+Guards against outages when the disks of some core processes fill up without
+warning while jobs are submitted and workers keep running.
 """
 
 from __future__ import annotations
@@ -18,18 +18,18 @@
 from wigeonreach.wire._call_messages import ReadJob, SubmitJob
 from wigeonreach.wire._call_replies import Done, JobState, NoSuchJob, Unknown
 
-_PLACE = ('club.example', f'/bookings/{JOB}')
-_SUBMIT = SubmitJob(*_PLACE, job(step(1)))
+_JOB_PATH = ('club.example', f'/bookings/{JOB}')
+_SUBMIT = SubmitJob(*_JOB_PATH, job(step(1)))
 _ACCEPTED = JobState(JobPhase.ACTIVE, has_started=False)
 _SHORT_S = 0.3
 _MIB = 1024 * 1024
 
 
 class TestFullDisks(testtools.TestCase):
-    """Three core processes, some of which can't write."""
+    """Three core processes, some of which can't write to disk."""
 
-    def test_leader_that_cant_write_leads_on(self) -> None:
-        """What the others have synced counts without its own disk."""
+    def test_leader_with_full_disk_keeps_leading(self) -> None:
+        """The others' disks are a quorum without the leader's own."""
 
         async def body(cluster: CoreCluster) -> None:
             leader = await cluster.leader()
@@ -40,8 +40,8 @@
 
         run_cluster(body)
 
-    def test_follower_that_cant_write_catches_up(self) -> None:
-        """It leads with all that was accepted meanwhile."""
+    def test_follower_with_full_disk_catches_up(self) -> None:
+        """It can lead later with everything that was accepted meanwhile."""
 
         async def body(cluster: CoreCluster) -> None:
             leader = await cluster.leader()
@@ -54,13 +54,13 @@
             await cluster.stop(other)
             await cluster.start(other)
             await cluster.stop(leader)
-            shown = await cluster.call(ReadJob(*_PLACE))
-            self.assertThat(shown, matchers.Equals(_ACCEPTED))
+            status = await cluster.call(ReadJob(*_JOB_PATH))
+            self.assertThat(status, matchers.Equals(_ACCEPTED))
 
         run_cluster(body)
 
-    def test_without_a_quorum_of_disks_reads_go_on(self) -> None:
-        """A job is not accepted, nor refused for good; it is known later."""
+    def test_reads_work_without_a_quorum_of_disks(self) -> None:
+        """The outcome of a submission is unknown until disks have space."""
 
         async def body(cluster: CoreCluster) -> None:
             leader = await cluster.leader()
@@ -73,32 +73,32 @@
                     filled.enter_context(cluster.fill_disk(name))
                 reply = await cluster.gateway.call(_SUBMIT, _SHORT_S)
                 self.assertThat(reply, matchers.Equals(Unknown()))
-                shown = await cluster.gateway.call(ReadJob(*_PLACE), 3)
-                self.assertThat(shown, matchers.Equals(NoSuchJob()))
+                status = await cluster.gateway.call(ReadJob(*_JOB_PATH), 3)
+                self.assertThat(status, matchers.Equals(NoSuchJob()))
             await cluster.call(_SUBMIT)
-            shown = await cluster.call(ReadJob(*_PLACE))
-            self.assertThat(shown, matchers.Equals(_ACCEPTED))
+            status = await cluster.call(ReadJob(*_JOB_PATH))
+            self.assertThat(status, matchers.Equals(_ACCEPTED))
 
         run_cluster(body)
 
 
 class TestSpaceWatch(testtools.TestCase):
-    """When operators are told that a disk fills."""
+    """When a disk is reported as low on space."""
 
-    def test_each_change_is_told_once(self) -> None:
-        """Before the next snapshot does not fit, and when it does again."""
+    def test_each_change_is_reported_once(self) -> None:
+        """Reported before the next snapshot would not fit, and once it would."""
         watch = SpaceWatch()
-        told = [
+        is_reported = [
             watch.note(DiskSpace(20 * _MIB, free_mib * _MIB))
             for free_mib in (136, 41, 39, 5, 0, 60)
         ]
         self.assertThat(
-            told,
+            is_reported,
             matchers.Equals([False, False, True, False, False, True]),
         )
 
-    def test_new_disk_needs_some_room_too(self) -> None:
-        """Little is used at the start, and work fills it soon."""
+    def test_empty_disk_needs_a_minimum_of_free_space(self) -> None:
+        """Little is used at first, but the disk soon fills."""
         self.assertThat(
             DiskSpace(0, 4 * _MIB).is_low,
             matchers.Is(True),
