--- a/src/wigeonreach/core/_term.py
+++ b/src/wigeonreach/core/_term.py
@@ -237,8 +237,8 @@
         if self.scheduler.is_foreign(report):
             self._log.heartbeat_foreign(report)
             return
-        is_over = self.scheduler.workers.is_gone(report.worker)
-        self._log.heartbeat_late(report, is_over)
+        is_gone = self.scheduler.workers.is_gone(report.worker)
+        self._log.heartbeat_late(report, is_gone)
 
     async def _record_ends(
         self,
--- a/src/wigeonreach/core/_term_log.py
+++ b/src/wigeonreach/core/_term_log.py
@@ -89,9 +89,9 @@
             running=len(report.running),
         )
 
-    def heartbeat_late(self, report: WorkerReport, is_over: bool) -> None:
+    def heartbeat_late(self, report: WorkerReport, is_gone: bool) -> None:
         """Log a heartbeat that is out of order or of a dead incarnation."""
-        reason = 'incarnation-over' if is_over else 'overtaken'
+        reason = 'incarnation-over' if is_gone else 'overtaken'
         self._metrics.count('heartbeats_late', reason)
         self._log.info(
             LogEvent.HEARTBEAT_LATE,
--- a/src/wigeonreach/jobs/_store.py
+++ b/src/wigeonreach/jobs/_store.py
@@ -177,7 +177,7 @@
                 order.is_answered = True
 
     def service_of(self, job: JobRecord) -> str:
-        """Return the service whose workers currently run a job's queue."""
+        """Return the service whose workers may currently run a job."""
         queue = self.queues.named(job.queue.name)
         return queue.service if queue else job.queue.service
 
@@ -230,7 +230,7 @@
         self,
         job: JobRecord,
         step: StepSpec,
-        besides: Amounts = NO_AMOUNTS,
+        extra: Amounts = NO_AMOUNTS,
     ) -> bool:
         """Whether the cap of a job's workspace allows a task or gang to start.
 
@@ -238,12 +238,12 @@
         ----------
         job, step
             The job and the step of the task or gang.
-        besides
+        extra
             Resources to add to what the workspace already uses.
         """
         if not job.workspace:
             return True
-        used = self.use.used(job.workspace) + besides
+        used = self.use.used(job.workspace) + extra
         cap = self.cap_of(job)
         return fits_cap(cap, used, step.least_start, step.amounts)
 
--- a/src/wigeonreach/workspaces/_index.py
+++ b/src/wigeonreach/workspaces/_index.py
@@ -88,9 +88,9 @@
         return Denial.WITHDRAWN, former
 
     def _remember_withdrawn(self, before: Mapping[Credential, str]) -> None:
-        gone = [
+        withdrawn = [
             (credential, name)
             for credential, name in before.items()
             if credential not in self._owners
         ]
-        self._withdrawn = dict(gone[-_MAX_WITHDRAWN:])
+        self._withdrawn = dict(withdrawn[-_MAX_WITHDRAWN:])
--- a/tests/builders_core.py
+++ b/tests/builders_core.py
@@ -27,7 +27,7 @@
 _CALL_TIMEOUT_S = 3.0
 
 
-class FakeVms:
+class FakePlatform:
     """A platform and advisor that accept every order and worker at once."""
 
     def __init__(self) -> None:
@@ -80,7 +80,7 @@
         """Choose the addresses; no process is started yet."""
         self.names = free_addresses(3)
         self.cores: dict[str, Core] = {}
-        self.vms = FakeVms()
+        self.vms = FakePlatform()
         self._folder = folder
         self.gateway = Gateway(
             'caller',
--- a/tests/core/test_clock.py
+++ b/tests/core/test_clock.py
@@ -11,7 +11,7 @@
 from wigeonreach.jobs import JobSpec
 from wigeonreach.scheduling import Scheduler
 
-_DAY_MS = 1_700_000_000_000.0
+_UNIX_TIME_MS = 1_700_000_000_000.0
 _JUMP_MS = 3_700.0
 
 
@@ -25,43 +25,43 @@
     def test_reverted_jump_is_not_followed(self) -> None:
         """Forwards or backwards, it is reported once and not followed."""
         for jump_ms in (_JUMP_MS, -_JUMP_MS):
-            offset = WallClockOffset(_DAY_MS)
+            offset = WallClockOffset(_UNIX_TIME_MS)
             jumps = [
-                offset.update(now_s, _DAY_MS + now_s * 1000 + jump_ms)
+                offset.update(now_s, _UNIX_TIME_MS + now_s * 1000 + jump_ms)
                 for now_s in (1.0, 2.0, 6.0)
             ]
             self.assertThat(jumps, matchers.Equals([jump_ms, 0.0, 0.0]))
             self.assertThat(
                 _filtered_ms(offset, 6.0),
-                matchers.Equals(_DAY_MS + 6_000),
+                matchers.Equals(_UNIX_TIME_MS + 6_000),
             )
-            jump_back_ms = offset.update(7.0, _DAY_MS + 7_000)
+            jump_back_ms = offset.update(7.0, _UNIX_TIME_MS + 7_000)
             self.assertThat(jump_back_ms, matchers.Equals(0.0))
 
     def test_lasting_jump_is_followed(self) -> None:
         """A lasting jump may have corrected the clock."""
-        offset = WallClockOffset(_DAY_MS)
+        offset = WallClockOffset(_UNIX_TIME_MS)
         for now_s in (1.0, 8.0, 17.0):
-            offset.update(now_s, _DAY_MS + now_s * 1000 + _JUMP_MS)
+            offset.update(now_s, _UNIX_TIME_MS + now_s * 1000 + _JUMP_MS)
         self.assertThat(
             _filtered_ms(offset, 17.0),
-            matchers.Equals(_DAY_MS + 17_000 + _JUMP_MS),
+            matchers.Equals(_UNIX_TIME_MS + 17_000 + _JUMP_MS),
         )
 
     def test_second_jump_is_a_new_candidate(self) -> None:
         """It is reported as well, and its duration counts separately."""
-        offset = WallClockOffset(_DAY_MS)
-        offset.update(1.0, _DAY_MS + 1_000 + _JUMP_MS)
-        jump_ms = offset.update(10.0, _DAY_MS + 10_000 - _JUMP_MS)
+        offset = WallClockOffset(_UNIX_TIME_MS)
+        offset.update(1.0, _UNIX_TIME_MS + 1_000 + _JUMP_MS)
+        jump_ms = offset.update(10.0, _UNIX_TIME_MS + 10_000 - _JUMP_MS)
         self.assertThat(jump_ms, matchers.Equals(-_JUMP_MS))
-        offset.update(17.0, _DAY_MS + 17_000 - _JUMP_MS)
-        self.assertThat(offset.offset_ms, matchers.Equals(_DAY_MS))
+        offset.update(17.0, _UNIX_TIME_MS + 17_000 - _JUMP_MS)
+        self.assertThat(offset.offset_ms, matchers.Equals(_UNIX_TIME_MS))
 
     def test_slow_drift_is_followed(self) -> None:
         """A clock that is slewed never jumps."""
-        offset = WallClockOffset(_DAY_MS)
+        offset = WallClockOffset(_UNIX_TIME_MS)
         for second in range(100):
-            jump_ms = offset.update(second, _DAY_MS + second * 1_100.0)
+            jump_ms = offset.update(second, _UNIX_TIME_MS + second * 1_100.0)
             self.assertThat(jump_ms, matchers.Equals(0.0))
 
 
