--- a/src/wigeonreach/lab/_variants.py
+++ b/src/wigeonreach/lab/_variants.py
@@ -89,7 +89,7 @@
 
 
 def _all_rooms(*asked: object) -> object:
-    """Return the rooms that ``NearRooms.near`` is given last."""
+    """Return the rooms that ``DataLocality.local_rooms`` is given last."""
     return asked[-1]
 
 
@@ -99,8 +99,10 @@
         variant.name: variant
         for variant in (
             Variant('as it is'),
-            _without('triage', '_ready:put_back', _no_set),
-            _without('near waiting', '_near:NearRooms.near', _all_rooms),
+            _without('triage', '_ready:deferred_occurrences', _no_set),
+            _without(
+                'near waiting', '_locality:DataLocality.local_rooms', _all_rooms
+            ),
             _without('lookahead', 'pooling._pools:_LOOKAHEAD_S', 0.0),
             _without('give-back', 'pooling._pools:_SETTLE_S', math.inf),
             _without('slow order', '_progress:ProgressWatch.slow', _no_map),
@@ -117,8 +119,10 @@
                 '_quarantine:WorkerQuarantine.quarantined',
                 _no_set,
             ),
-            _without('rack courtesy', '_choosing:_WANTED_NEAR', 0.0),
-            _without('apart from serving', '_choosing:_BESIDE_SERVING', 0.0),
+            _without('rack courtesy', '_choosing:_DATA_RACK_COST', 0.0),
+            _without(
+                'apart from serving', '_choosing:_BESIDE_SERVING_COST', 0.0
+            ),
         )
     }
 )
--- a/src/wigeonreach/scheduling/_backlog.py
+++ b/src/wigeonreach/scheduling/_backlog.py
@@ -1,4 +1,4 @@
-"""Sum up what the accepted jobs of a service ask of its pool."""
+"""Sum up the work of a service's accepted jobs for its pool."""
 
 from __future__ import annotations
 
@@ -10,55 +10,57 @@
 from wigeonreach._room import Room
 from wigeonreach.jobs import StepSpec
 
-# Any worker, or any rack.
-ANYWHERE = ''
+# Stands for VMs with any label, or on any rack.
+ANY_LABEL = ''
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StepWork:
-    """What is left of one step of an occurrence.
+    """Remaining work of one step of an occurrence.
 
     Attributes
     ----------
+    spec
+        The step.
     tasks
-        How many are not done.
-    lasts_s
-        Estimated time of one of them.
+        Number of unfinished tasks.
+    task_duration_s
+        Estimated run time of one task.
     workspace
-        Whose job it is.
-    part
-        How much of it the cap of its workspace lets run.
+        The workspace that submitted the job.
+    allowed_ratio
+        Share of the work that the cap of the workspace lets run.
     """
 
     spec: StepSpec
     tasks: int
-    lasts_s: float
+    task_duration_s: float
     workspace: str = ''
-    part: float = 1.0
+    allowed_ratio: float = 1.0
 
     def vm_s(self, vm_room: Room) -> float:
-        """Return it in seconds of a whole VM of a size."""
-        lasts_s = self.tasks * self.lasts_s * self.part
-        return part_of(self.spec.room, vm_room) * lasts_s
+        """Return the work in VM seconds, for VMs of a given capacity."""
+        total_s = self.tasks * self.task_duration_s * self.allowed_ratio
+        return vm_share(self.spec.room, vm_room) * total_s
 
 
 @dataclasses.dataclass(slots=True)
 class Backlog:
-    """What the jobs of one service still need.
+    """Remaining work of the jobs of one service.
 
-    All sums are in seconds of a whole VM, of which each task takes the part
-    that it leaves to no other: the larger of its processors and its memory.
+    All sums are in VM seconds.  A task counts with its dominant share of a VM:
+    the largest of its shares of processors, memory and accelerators.
 
     Attributes
     ----------
     vm_s
-        In all.
+        Total work.
     by_label
-        Of the steps that need a label.
+        Work of the steps that need a label, by label.
     by_rack
-        Of the steps whose data is near a rack.
-    at_once
-        Most VMs that one gang fills alone, by the label that it needs.
+        Work of the steps with data on a rack, by rack.
+    gang_vms
+        VMs that the widest gang fills, by the label that it needs.
     """
 
     vm_s: float = 0.0
@@ -68,12 +70,12 @@
     by_rack: dict[str, float] = dataclasses.field(
         default_factory=lambda: collections.defaultdict(float),
     )
-    at_once: dict[str, int] = dataclasses.field(
+    gang_vms: dict[str, int] = dataclasses.field(
         default_factory=lambda: collections.defaultdict(int),
     )
 
     def add(self, work: StepWork, vm_room: Room) -> None:
-        """Count a step in, on VMs of a size."""
+        """Add the work of a step, for VMs of a given capacity."""
         spec = work.spec
         vm_s = work.vm_s(vm_room)
         self.vm_s += vm_s
@@ -82,26 +84,26 @@
         if spec.data_rack:
             self.by_rack[spec.data_rack] += vm_s
         if spec.is_gang and work.tasks:
-            filled = _vms_filled(spec, vm_room)
-            self.at_once[spec.label] = max(self.at_once[spec.label], filled)
+            gang_vms = _vms_for_gang(spec, vm_room)
+            self.gang_vms[spec.label] = max(self.gang_vms[spec.label], gang_vms)
 
 
-NOTHING = Backlog()
+EMPTY_BACKLOG = Backlog()
 
 
-def part_of(need: Room, vm_room: Room) -> float:
-    """Return the part of a VM that is taken, by what is scarcest there."""
-    parts = [0.0]
+def vm_share(needed: Room, vm_room: Room) -> float:
+    """Return the dominant share of a VM's capacity that is needed."""
+    shares = [0.0]
     if vm_room.processors:
-        parts.append(need.processors / vm_room.processors)
+        shares.append(needed.processors / vm_room.processors)
     if vm_room.memory_bytes:
-        parts.append(need.memory_bytes / vm_room.memory_bytes)
+        shares.append(needed.memory_bytes / vm_room.memory_bytes)
     if vm_room.accelerators:
-        parts.append(need.accelerators / vm_room.accelerators)
-    return max(parts)
+        shares.append(needed.accelerators / vm_room.accelerators)
+    return max(shares)
 
 
-def backlogs(
+def backlog_by_service(
     work: Mapping[str, Iterable[StepWork]],
     vm_room: Room,
 ) -> dict[str, Backlog]:
@@ -114,10 +116,10 @@
     return found
 
 
-def _vms_filled(spec: StepSpec, vm_room: Room) -> int:
-    """Return on how many empty VMs all tasks of a step fit at once."""
-    part = part_of(spec.room, vm_room)
-    on_one = math.floor(1 / part) if part else spec.count
+def _vms_for_gang(spec: StepSpec, vm_room: Room) -> int:
+    """Return how many empty VMs fit all tasks of a step at once."""
+    share = vm_share(spec.room, vm_room)
+    tasks_per_vm = math.floor(1 / share) if share else spec.count
     if spec.spread_limit:
-        on_one = min(on_one, spec.spread_limit)
-    return math.ceil(spec.count / max(on_one, 1))
+        tasks_per_vm = min(tasks_per_vm, spec.spread_limit)
+    return math.ceil(spec.count / max(tasks_per_vm, 1))
--- a/src/wigeonreach/scheduling/_choosing.py
+++ b/src/wigeonreach/scheduling/_choosing.py
@@ -6,46 +6,46 @@
 from collections.abc import Iterable
 
 from wigeonreach.jobs import StepSpec, TaskKey
-from wigeonreach.scheduling._ready import ReadyStep, most_together
+from wigeonreach.scheduling._ready import ReadyStep, max_tasks_per_worker
 from wigeonreach.scheduling._room_left import WorkerRoom
 from wigeonreach.scheduling._suspects import CRASHES_BEFORE_TRIAL, Apart
 
-# Weights of what speaks for a worker; each outweighs all behind it.
-_FAILED_HERE = 100.0
-_SLOW = 50.0
-_FAR_FROM_DATA = 10.0
-# Only beside tasks whose answers are timed: the others' workers stay anyway, so
-# what fits there keeps a VM less.
-_BESIDE_SERVING = 4.0
-_CROWDED = 20.0
-# Two tasks that may crash their worker would each stand for the other's crash.
-_SUSPECTS_TOGETHER = 30.0
-# Beside others the next crash tells nothing, and takes them along.
-_NOT_ALONE = 25.0
-_CRASHED_LATELY = 8.0
-# What runs beside such a task may be lost with it; that costs less than a run
-# away from its data, as few of these tasks are the cause.
-_BESIDE_SUSPECT = 6.0
-# Work that could go anywhere leaves a rack to what has its data there.
-_WANTED_NEAR = 2.0
-
-# What speaks against a worker; the lowest is taken.
+# Costs of placing a task on a worker; the worker with the lowest sum is chosen.
+_FAILED_HERE_COST = 100.0
+_SLOW_WORKER_COST = 50.0
+_REMOTE_DATA_COST = 10.0
+# Applies only beside serving tasks with a latency target.  Workers of other
+# serving tasks stay up anyway, so batch work that fits there saves a VM.
+_BESIDE_SERVING_COST = 4.0
+_CROWDED_COST = 20.0
+# A crash of a worker with two suspect tasks can't be attributed to one of them.
+_SUSPECTS_TOGETHER_COST = 30.0
+# A crash beside other tasks does not show its cause, and ends those tasks too.
+_NOT_ISOLATED_COST = 25.0
+_RECENT_CRASH_COST = 8.0
+# A task beside a suspect may be lost with it.  This costs less than running
+# away from the data, since few suspects do cause crashes.
+_BESIDE_SUSPECT_COST = 6.0
+# Keeps tasks without a data rack off racks where waiting tasks have their data.
+_DATA_RACK_COST = 2.0
+
+# Cost, tie-breaker by leftover capacity, worker name; the lowest is chosen.
 _Cost = tuple[float, float, str]
 
 
-class Ranking:
-    """The workers for the tasks of one step, while a plan is made.
+class WorkerRanking:
+    """The workers for the tasks of one step, ranked during planning.
 
-    Room only shrinks meanwhile, so a worker that can't take one task of a
-    step takes none of the others, and all workers are looked at once a step
-    instead of once a task.
+    Free capacity only shrinks during planning, so a worker that can't take one
+    task of a step can't take the others either.  All workers are therefore
+    ranked once per step instead of once per task.
 
     Parameters
     ----------
     step
-        Whose tasks are to be placed.
+        The step whose tasks are to be placed.
     rooms
-        The workers that may take something.
+        The workers that accept tasks.
     """
 
     def __init__(
@@ -53,7 +53,7 @@
         step: ReadyStep,
         rooms: Iterable[WorkerRoom],
     ) -> None:
-        """Rank the workers with room for a task."""
+        """Select the workers with capacity for a task."""
         need = step.spec.room
         self._step = step
         self._rooms = [room for room in rooms if room.left.holds(need)]
@@ -61,7 +61,7 @@
 
     @property
     def has_rooms(self) -> bool:
-        """Whether some worker had room for a task."""
+        """Whether some worker had capacity for a task."""
         return bool(self._rooms)
 
     def best(
@@ -69,31 +69,30 @@
         key: TaskKey,
         apart: Apart = Apart.FROM_NOTHING,
     ) -> WorkerRoom | None:
-        """Return the worker for one task, or None if it fits nowhere.
+        """Return the best worker for one task, or None if none fits.
 
         Parameters
         ----------
         key
             The task.
         apart
-            Beside what it may not be.
+            Which other tasks it must not share a worker with.
         """
         task = self._step.job.task(key)
         has_run = task is not None and bool(task.run)
         if has_run or self._step.spec.is_service:
-            # Where it ran, and where its siblings are, counts too.
+            # The cost depends on where the task ran before or where other
+            # tasks of its step are, so the shared ranking does not apply.
             crashes = task.crash_count if task else 0
             rooms = self._rooms
             if apart is not Apart.FROM_NOTHING:
                 rooms = [
-                    room
-                    for room in rooms
-                    if room.keeps_apart(key.job_id, apart)
+                    room for room in rooms if room.isolates(key.job_id, apart)
                 ]
             return best_room(self._step, key, rooms, crashes)
-        return self._first(key)
+        return self._cheapest(key)
 
-    def _first(self, key: TaskKey) -> WorkerRoom | None:
+    def _cheapest(self, key: TaskKey) -> WorkerRoom | None:
         if self._heap is None:
             self._heap = [
                 (_cost(self._step, key, room), room) for room in self._rooms
@@ -107,7 +106,7 @@
             current = _cost(self._step, key, room)
             if current == ranked:
                 return room
-            # Something was put on it since it was ranked.
+            # A task was placed on the worker since it was ranked.
             heapq.heapreplace(self._heap, (current, room))
         return None
 
@@ -118,9 +117,9 @@
     rooms: Iterable[WorkerRoom],
     crashes: int = 0,
 ) -> WorkerRoom | None:
-    """Return the worker for one task, or None if it fits nowhere.
+    """Return the best worker for one task, or None if none fits.
 
-    ``crashes`` is how many workers may have gone down by it.
+    ``crashes`` is the number of worker crashes that the task may have caused.
     """
     fitting = [room for room in rooms if room.holds(key, step.spec)]
     return min(
@@ -136,55 +135,60 @@
     room: WorkerRoom,
     crashes: int = 0,
 ) -> _Cost:
-    """Return what speaks against a worker."""
+    """Return the cost of placing a task on a worker."""
     spec = step.spec
     report = room.incarnation.report
     task = step.job.task(key)
     cost = _crash_cost(key.job_id, room, crashes)
     if task is not None and task.run and task.worker == report.worker:
-        cost += _FAILED_HERE
+        cost += _FAILED_HERE_COST
     if spec.data_rack and spec.data_rack != report.rack:
-        cost += _FAR_FROM_DATA
-    elif not spec.data_rack and room.is_wanted_near:
-        cost += _WANTED_NEAR
+        cost += _REMOTE_DATA_COST
+    elif not spec.data_rack and room.has_local_demand:
+        cost += _DATA_RACK_COST
     if room.is_slow:
-        cost += _SLOW
+        cost += _SLOW_WORKER_COST
     if spec.is_service:
         cost += _serving_cost(key, spec, room)
     elif room.has_target:
-        cost += _BESIDE_SERVING
-    return cost, _tightness(spec, room), report.worker
+        cost += _BESIDE_SERVING_COST
+    return cost, _leftover_cost(spec, room), report.worker
 
 
 def _crash_cost(job_id: str, room: WorkerRoom, crashes: int) -> float:
-    """Keep tasks that may crash their workers apart from all others."""
+    """Return the cost of placing suspect tasks beside others."""
     if not crashes and not room.suspects:
         return 0.0
-    cost = _NOT_ALONE if room.is_closed and room.trial_job != job_id else 0.0
+    cost = (
+        _NOT_ISOLATED_COST
+        if room.is_closed and room.trial_job != job_id
+        else 0.0
+    )
     others = len(room.suspects - {job_id})
-    beside = _SUSPECTS_TOGETHER if crashes else _BESIDE_SUSPECT
+    beside = _SUSPECTS_TOGETHER_COST if crashes else _BESIDE_SUSPECT_COST
     cost += others * beside
-    if crashes >= CRASHES_BEFORE_TRIAL and room.has_others(job_id):
-        cost += _NOT_ALONE
+    if crashes >= CRASHES_BEFORE_TRIAL and room.runs_other_jobs(job_id):
+        cost += _NOT_ISOLATED_COST
     if crashes and room.has_crashed_lately:
-        cost += _CRASHED_LATELY
+        cost += _RECENT_CRASH_COST
     return cost
 
 
 def _serving_cost(key: TaskKey, spec: StepSpec, room: WorkerRoom) -> float:
-    """Keep a step's tasks on two workers or more, but serving tasks on few.
+    """Return the cost of placing a serving task on a worker.
 
-    The loss of one worker must not cost a step all of its tasks; workers
-    without any serving task run batch work undisturbed, and can be moved.
+    A step's tasks are spread over at least two workers, so that it survives
+    the loss of one.  Beyond that serving tasks are packed on few workers: the
+    others can run batch work without disturbing them, and their VMs can move.
     """
     same_step = room.steps[key.job_id, key.occurrence, key.step]
-    if same_step >= most_together(spec):
-        return _CROWDED + same_step
+    if same_step >= max_tasks_per_worker(spec):
+        return _CROWDED_COST + same_step
     return -min(room.serving, 1)
 
 
-def _tightness(spec: StepSpec, room: WorkerRoom) -> float:
-    """Return the room that would be left; tight fits keep others whole."""
+def _leftover_cost(spec: StepSpec, room: WorkerRoom) -> float:
+    """Return a tie-breaker: best fit for batch tasks, worst fit for serving."""
     if spec.is_service:
         return -room.left.processors
     return room.left.processors
--- a/src/wigeonreach/scheduling/_objectives.py
+++ b/src/wigeonreach/scheduling/_objectives.py
@@ -1,4 +1,4 @@
-"""Tell how much work jobs still need, and by when it is of full use."""
+"""Compute the remaining work of jobs and their time objectives."""
 
 from __future__ import annotations
 
@@ -6,49 +6,51 @@
 
 from wigeonreach.jobs import JobRecord, StepSpec, TaskPhase
 
-# Where a team gave no estimate.
-_UNKNOWN_ESTIMATE_S = 1.0
-_MS = 1000.0
+# Used where a step gives no estimate.
+_DEFAULT_ESTIMATE_S = 1.0
+_MS_PER_S = 1000.0
 
 
-def estimate_s(step: StepSpec) -> float:
-    """Return the time of one task, in seconds."""
-    return step.estimate_ms / _MS or _UNKNOWN_ESTIMATE_S
+def task_estimate_s(step: StepSpec) -> float:
+    """Return the estimated run time of one task, in seconds."""
+    return step.estimate_ms / _MS_PER_S or _DEFAULT_ESTIMATE_S
 
 
 def objective_of(job: JobRecord) -> float:
-    """Return within how many seconds a job, or an occurrence, is of full use."""
-    whole_s = _longest_s(job.spec.steps, map(estimate_s, job.spec.steps))
+    """Return the objective for finishing a job or occurrence, in seconds."""
+    total_s = _longest_path_s(
+        job.spec.steps, map(task_estimate_s, job.spec.steps)
+    )
     queue = job.queue
-    return queue.slack_factor * whole_s + queue.target_latency_ms / _MS
+    return queue.slack_factor * total_s + queue.target_latency_ms / _MS_PER_S
 
 
-def chain_s(job: JobRecord, occurrence: int) -> float:
-    """Return the longest chain of work that is left of an occurrence."""
+def critical_path_s(job: JobRecord, occurrence: int) -> float:
+    """Return the critical path of an occurrence's unfinished steps."""
     left_s = (
-        0.0 if job.is_step_done(occurrence, number) else estimate_s(step)
+        0.0 if job.is_step_done(occurrence, number) else task_estimate_s(step)
         for number, step in enumerate(job.spec.steps)
     )
-    return _longest_s(job.spec.steps, left_s)
+    return _longest_path_s(job.spec.steps, left_s)
 
 
-def tasks_left(job: JobRecord, occurrence: int, step: int) -> int:
+def unfinished_tasks(job: JobRecord, occurrence: int, step: int) -> int:
     """Return how many tasks of a step are not done."""
     tasks = job.occurrences[occurrence][step]
     return sum(task.phase is not TaskPhase.DONE for task in tasks)
 
 
-def work_s(job: JobRecord, occurrence: int) -> float:
-    """Return the processor seconds that are left of an occurrence."""
+def remaining_work_s(job: JobRecord, occurrence: int) -> float:
+    """Return the processor seconds that an occurrence still needs."""
     return sum(
         step.room.processors
-        * estimate_s(step)
-        * tasks_left(job, occurrence, number)
+        * task_estimate_s(step)
+        * unfinished_tasks(job, occurrence, number)
         for number, step in enumerate(job.spec.steps)
     )
 
 
-def _longest_s(
+def _longest_path_s(
     steps: Iterable[StepSpec],
     durations_s: Iterable[float],
 ) -> float:
--- a/src/wigeonreach/scheduling/_open_rooms.py
+++ b/src/wigeonreach/scheduling/_open_rooms.py
@@ -1,4 +1,4 @@
-"""Tell which workers may take something now, and what each has left."""
+"""List the workers that accept tasks now, with their free capacity."""
 
 from __future__ import annotations
 
@@ -9,29 +9,29 @@
 from wigeonreach.scheduling._crashes import CrashWatch
 from wigeonreach.scheduling._incarnation import Incarnation
 from wigeonreach.scheduling._pacing import Pacing
-from wigeonreach.scheduling._placing import close_trials
+from wigeonreach.scheduling._placing import close_trial_workers
 from wigeonreach.scheduling._progress import ProgressWatch
 from wigeonreach.scheduling._quarantine import WorkerQuarantine
-from wigeonreach.scheduling._room_book import RoomBook
+from wigeonreach.scheduling._room_cache import RoomCache
 from wigeonreach.scheduling._room_left import WorkerRoom
 from wigeonreach.scheduling._vms import ORDER_LASTS_S
 from wigeonreach.scheduling._workers import Workers
 
-# The room of each worker of a service, by its name.
+# Free capacity of the workers of each service, by service name.
 PoolRooms: TypeAlias = dict[str, list[WorkerRoom]]
 
 
 class OpenRooms:
-    """The room of the workers that are trusted.
+    """Free capacity of the workers that may be given tasks.
 
     Parameters
     ----------
     store
-        What runs where; it is only read.
+        The replicated state; it is only read.
     workers
-        Those that are heard.
+        The workers that send heartbeats.
     progress, pacing, quarantine, crashes
-        What is known of slow, slowed, failing and crashing workers.
+        Trackers of slow, paced, failing and crashing workers.
     now_s
         When the term began.
     """
@@ -46,23 +46,23 @@
         crashes: CrashWatch,
         now_s: float,
     ) -> None:
-        """Know no worker's room."""
-        # An order that an earlier leader was about to give may still be carried
-        # out, and ends all that runs on its VM then.
-        self._unanswered = frozenset(
+        """Start with an empty cache."""
+        # An order that an earlier leader was about to give may still be
+        # executed, and then ends everything that runs on its VM.
+        self._vms_with_open_orders = frozenset(
             vm for vm, order in store.vm_orders.items() if not order.is_answered
         )
-        self._unanswered_until_s = now_s + ORDER_LASTS_S
+        self._open_orders_until_s = now_s + ORDER_LASTS_S
         self._workers = workers
         self._progress = progress
         self._pacing = pacing
         self._quarantine = quarantine
         self._crashes = crashes
-        self._book = RoomBook(store, progress)
+        self._cache = RoomCache(store, progress)
 
     def forget(self, worker: str) -> None:
-        """Count a worker's room anew when it is next asked for."""
-        self._book.forget(worker)
+        """Drop a worker's cached capacity."""
+        self._cache.forget(worker)
 
     def of(
         self,
@@ -71,28 +71,29 @@
         stopping: Collection[Run],
         now_s: float,
     ) -> PoolRooms:
-        """Return what is left on each worker of some services.
+        """Return the free capacity of each worker of some services.
 
         Parameters
         ----------
         services
-            Whose workers are asked for.
+            The services to look at.
         cordoned
-            VMs whose workers get nothing new.
+            VMs whose workers get no new tasks.
         stopping
-            What is being stopped.
+            Runs that are being stopped.
         now_s
             Clock in seconds.
 
         Returns
         -------
         PoolRooms
-            Workers that may take nothing now are left out.
+            Free capacity by service, without the workers that accept no tasks
+            now.
         """
         by_service: dict[str, list[Incarnation]] = {}
         closed = set(cordoned)
-        if now_s < self._unanswered_until_s:
-            closed |= self._unanswered
+        if now_s < self._open_orders_until_s:
+            closed |= self._vms_with_open_orders
         for incarnation in self._workers.incarnations.values():
             report = incarnation.report
             is_asked = report.service in services and report.vm not in closed
@@ -113,7 +114,7 @@
         quarantined = self._quarantine.quarantined(names, now_s)
         slow = self._progress.slow(names, now_s)
         rooms = [
-            self._book.of(incarnation, stopping)
+            self._cache.of(incarnation, stopping)
             for incarnation in incarnations
             if incarnation.report.worker not in quarantined
         ]
@@ -125,5 +126,5 @@
                 report.vm_or_address,
                 now_s,
             )
-        close_trials(rooms)
+        close_trial_workers(rooms)
         return rooms
--- a/src/wigeonreach/scheduling/_pacing.py
+++ b/src/wigeonreach/scheduling/_pacing.py
@@ -1,8 +1,8 @@
-"""Slow down batch work beside serving tasks that answer too slowly.
+"""Throttle batch work beside serving tasks that respond too slowly.
 
-Answers the pattern of fillers that disturb serving tasks by amounts that
-nobody declared and that change within seconds: pace goes down at once and by
-halves when a tail nears its target, and comes back in steps.
+Batch tasks disturb serving tasks on the same worker by amounts that are not
+declared and change within seconds.  The pace is halved at once when a tail
+latency nears its target, and is raised again in steps.
 """
 
 from __future__ import annotations
@@ -13,58 +13,58 @@
 from wigeonreach.scheduling._incarnation import Incarnation
 
 FULL_PACE = 100
-# Tails are figures of the last half second, so pace has to go down before
-# the target is reached.
+# Tail latencies cover the last half second, so the pace has to be lowered
+# before the target is reached.
 _SLOWER_ABOVE_RATIO = 0.8
 _FASTER_BELOW_RATIO = 0.6
-_STEP_UP = 20
-# Below this share a task is stopped from working at all.
-_LEAST_PACE = 20
+_PACE_STEP = 20
+# Below this share batch work is suspended.
+_MIN_PACE = 20
 
 
 class Pacing:
-    """The share of its speed at which batch work runs on each worker."""
+    """The share of full speed at which batch work runs on each worker."""
 
     def __init__(self) -> None:
-        """Let everything run."""
+        """Start at full pace everywhere."""
         self._paces: dict[str, int] = {}
 
     def pace(self, worker: str) -> int | None:
-        """Return the share in percent, or None if none was ever set."""
+        """Return a worker's pace in percent, or None if none was ever set."""
         return self._paces.get(worker)
 
     def is_paced(self, worker: str) -> bool:
-        """Whether batch work on a worker is slowed down."""
+        """Whether batch work on a worker is throttled."""
         return self._paces.get(worker, FULL_PACE) < FULL_PACE
 
     def set(self, worker: str, percent: int) -> None:
-        """Let batch work on a worker run at a share of its speed."""
+        """Set the pace of batch work on a worker."""
         self._paces[worker] = percent
 
     def forget(self, worker: str) -> None:
-        """Drop what is known of a dead worker."""
+        """Drop the pace of a dead worker."""
         self._paces.pop(worker, None)
 
     def note(self, incarnation: Incarnation, store: JobStore) -> str:
-        """Look at the tails that a worker reports.
+        """Adjust the pace to the tail latencies that a worker reports.
 
         Returns
         -------
         str
-            What changed, or nothing.
+            A description of the change, or '' if the pace stays.
         """
         worker = incarnation.report.worker
         ratio = _worst_ratio(incarnation, store)
         pace = self._paces.get(worker, FULL_PACE)
         if ratio > _SLOWER_ABOVE_RATIO:
             slower = pace // 2
-            self._paces[worker] = slower if slower >= _LEAST_PACE else 0
+            self._paces[worker] = slower if slower >= _MIN_PACE else 0
         elif ratio < _FASTER_BELOW_RATIO and worker in self._paces:
-            self._paces[worker] = min(pace + _STEP_UP, FULL_PACE)
-        changed = self._paces.get(worker, FULL_PACE)
-        if changed == pace:
+            self._paces[worker] = min(pace + _PACE_STEP, FULL_PACE)
+        new_pace = self._paces.get(worker, FULL_PACE)
+        if new_pace == pace:
             return ''
-        return f'{pace} to {changed} percent, tail at {ratio:.2f} of target'
+        return f'{pace} to {new_pace} percent, tail at {ratio:.2f} of target'
 
 
 def _worst_ratio(incarnation: Incarnation, store: JobStore) -> float:
--- a/src/wigeonreach/scheduling/_placing.py
+++ b/src/wigeonreach/scheduling/_placing.py
@@ -1,4 +1,4 @@
-"""Choose workers for the tasks that may start."""
+"""Assign the tasks that may start to workers."""
 
 from __future__ import annotations
 
@@ -8,33 +8,33 @@
 from wigeonreach._room import Room
 from wigeonreach.jobs import JobStore, Run, RunStarted, TaskKey
 from wigeonreach.scheduling._advice import TicketCache
-from wigeonreach.scheduling._choosing import Ranking, best_room
-from wigeonreach.scheduling._near import NearRooms, fits_whole
-from wigeonreach.scheduling._preempting import RoomMade, make_room
+from wigeonreach.scheduling._choosing import WorkerRanking, best_room
+from wigeonreach.scheduling._locality import DataLocality, fits_all_tasks
+from wigeonreach.scheduling._preempting import Preemption, make_room
 from wigeonreach.scheduling._ready import ReadyStep
 from wigeonreach.scheduling._room_left import WorkerRoom
 from wigeonreach.scheduling._suspects import Apart, Suspects
 from wigeonreach.scheduling.sharing import CapPlan
 
-# Of a pool's workers, so many may have one task alone.
-_MOST_CLOSED_RATIO = 0.34
+# Share of a pool's workers that may be reserved for isolated tasks.
+_MAX_CLOSED_RATIO = 0.34
 
 
 class Plan:
-    """Starts that are decided together, on the room of this moment.
+    """Task starts that are decided together, on the current capacity.
 
     Parameters
     ----------
     store
-        What is accepted and where it runs.
+        The accepted jobs and where their tasks run.
     rooms
-        The workers that may take something, by service.
+        The workers that accept tasks, by service.
     advice
-        Tickets of the queues that need them.
+        Tickets for the queues that require them.
     near
-        Who waits for room near its data.
+        Decides which steps wait for capacity near their data.
     suspects
-        Which tasks may bring their workers down.
+        The tasks that may crash their workers.
     caps
         What the workspaces may still start.
     now_s
@@ -46,14 +46,14 @@
         store: JobStore,
         rooms: dict[str, list[WorkerRoom]],
         advice: TicketCache,
-        near: NearRooms,
+        near: DataLocality,
         suspects: Suspects,
         caps: CapPlan,
         now_s: float,
     ) -> None:
-        """Start nothing yet."""
+        """Start with an empty plan."""
         self._caps = caps
-        self._near = near
+        self._locality = near
         self._suspects = suspects
         self._store = store
         self._rooms = rooms
@@ -61,34 +61,34 @@
         self._now_s = now_s
         self.starts: list[RunStarted] = []
         self.unplaced: list[ReadyStep] = []
-        # What found no room on any worker of a service.
-        self._too_large: dict[str, list[Room]] = {}
+        # Requests that fit on no worker of a service.
+        self._unplaceable: dict[str, list[Room]] = {}
 
     def place(self, steps: Sequence[ReadyStep]) -> None:
-        """Place the tasks of steps, in their order."""
-        self._mark_wanted(steps)
-        self._keep_for_trials(steps)
+        """Place the tasks of steps, in the given order."""
+        self._mark_data_racks(steps)
+        self._reserve_trial_workers(steps)
         for step in steps:
             if not self._caps.allows(step.job, step.spec):
-                # No room that is made or waited for would help.
+                # Blocked by its cap, so more capacity would not help.
                 continue
-            rooms = self._rooms_for(step)
+            rooms = self._candidate_rooms(step)
             if step.spec.is_gang:
                 is_placed = self._place_gang(step, rooms)
             else:
-                is_placed = self._place_each(step, rooms)
+                is_placed = self._place_tasks(step, rooms)
             if not is_placed:
                 self.unplaced.append(step)
 
-    def make_room(self, stopping: set[Run], vm_room: Room) -> RoomMade:
-        """Find room for the serving tasks that found none.
+    def make_room(self, stopping: set[Run], vm_room: Room) -> Preemption:
+        """Choose batch runs to preempt for unplaced serving tasks.
 
         Parameters
         ----------
         stopping
-            What is being stopped already; its room is waited for.
+            Runs that are being stopped already; their capacity is counted on.
         vm_room
-            What a VM holds.
+            Capacity of one VM.
         """
         return make_room(
             self.unplaced,
@@ -98,20 +98,21 @@
             vm_room,
         )
 
-    def _mark_wanted(self, steps: Iterable[ReadyStep]) -> None:
-        """Take note near which workers the data of some step lies."""
+    def _mark_data_racks(self, steps: Iterable[ReadyStep]) -> None:
+        """Mark the workers on racks that hold the data of some step."""
         wanted = {
             (self._service_of(step), step.spec.data_rack) for step in steps
         }
         for service, rooms in self._rooms.items():
             for room in rooms:
                 rack = room.incarnation.report.rack
-                room.is_wanted_near = (service, rack) in wanted
+                room.has_local_demand = (service, rack) in wanted
 
-    def _keep_for_trials(self, steps: Iterable[ReadyStep]) -> None:
-        """Let workers run empty for the tasks that have to run alone.
+    def _reserve_trial_workers(self, steps: Iterable[ReadyStep]) -> None:
+        """Reserve workers for the tasks that have to run alone.
 
-        Those with the fewest crashes come first: most sound ones are there.
+        Tasks with the fewest crashes come first, as most sound tasks are among
+        them.
         """
         if not self._suspects.may_wait:
             return
@@ -124,33 +125,34 @@
         trials.sort(key=lambda trial: trial[0])
         for _, step in trials:
             pool = self._pool_of(step)
-            keep_for_trial(step, self._rooms_for(step), pool)
+            reserve_for_trial(step, self._candidate_rooms(step), pool)
 
     def _crashes_before_trial(self, step: ReadyStep) -> int:
-        """Return the fewest crashes of a task that has to run alone, or 0."""
+        """Return the fewest crashes among tasks that must run alone, or 0."""
         tasks = step.job.occurrences[step.occurrence][step.step]
         return min(
             (
                 tasks[index].crash_count
                 for index in step.waiting
                 if tasks[index].crashes
-                and self._kept_apart(step, _key(step, index)) is Apart.FROM_ALL
+                and self._isolation_of(step, _task_key(step, index))
+                is Apart.FROM_ALL
             ),
             default=0,
         )
 
-    def _rooms_for(self, step: ReadyStep) -> Sequence[WorkerRoom]:
-        """Return the workers that may take a step now."""
+    def _candidate_rooms(self, step: ReadyStep) -> Sequence[WorkerRoom]:
+        """Return the workers that may run tasks of a step now."""
         rooms: Sequence[WorkerRoom]
         rooms = self._pool_of(step)
-        rooms = self._near.near(step, rooms)
+        rooms = self._locality.local_rooms(step, rooms)
         if step.job.queue.advice is not None:
             rooms = self._advice.allowed(step, rooms, self._now_s)
         if step.spec.is_rack_local:
-            rooms = self._near.one_rack(step, rooms)
+            rooms = self._locality.single_rack_rooms(step, rooms)
         return rooms
 
-    def _place_each(
+    def _place_tasks(
         self,
         step: ReadyStep,
         rooms: Sequence[WorkerRoom],
@@ -158,47 +160,47 @@
         waiting = self._startable(step)
         ranking = self._ranking(step, rooms)
         if ranking is None:
-            self._near.note_waiting(step, len(waiting))
+            self._locality.add_queued(step, len(waiting))
             return not waiting
         is_placed = True
         for placed, index in enumerate(waiting):
-            key = _key(step, index)
-            apart = self._kept_apart(step, key)
+            key = _task_key(step, index)
+            apart = self._isolation_of(step, key)
             room = ranking.best(key, apart)
             if room is None and apart is Apart.FROM_NOTHING:
-                self._near.note_waiting(step, len(waiting) - placed)
+                self._locality.add_queued(step, len(waiting) - placed)
                 return False
-            if room is None or _waits_for_another(step, key, room, rooms):
+            if room is None or _awaits_other_worker(step, key, room, rooms):
                 is_placed = False
                 continue
             self._start(step, key, room, _next_run(step, index))
         return is_placed
 
     def _startable(self, step: ReadyStep) -> list[int]:
-        """Return the tasks of a step that may start if there is room."""
+        """Return the tasks of a step that may start, given enough capacity."""
         waiting = [
             index
             for index in step.waiting
-            if not self._must_wait(step, _key(step, index))
+            if not self._must_wait(step, _task_key(step, index))
         ]
-        allowed = self._caps.most(step.job, step.spec, len(waiting))
+        allowed = self._caps.startable_count(step.job, step.spec, len(waiting))
         return waiting[:allowed]
 
     def _ranking(
         self,
         step: ReadyStep,
         rooms: Sequence[WorkerRoom],
-    ) -> Ranking | None:
-        """Return the workers for a step, or None if its tasks fit on none.
+    ) -> WorkerRanking | None:
+        """Return the ranked workers for a step, or None if none fits.
 
-        Room only shrinks while a plan is made: with a full pool most steps that
-        wait need no look at its workers, as a smaller task found no room before.
+        Capacity only shrinks during planning.  In a full pool most steps need
+        no look at the workers, because a smaller task did not fit before.
         """
         need = step.spec.room
-        refused = self._too_large.setdefault(self._service_of(step), [])
+        refused = self._unplaceable.setdefault(self._service_of(step), [])
         if any(need.holds(smaller) for smaller in refused):
             return None
-        ranking = Ranking(step, rooms)
+        ranking = WorkerRanking(step, rooms)
         if ranking.has_rooms:
             return ranking
         if rooms is self._pool_of(step):
@@ -216,14 +218,17 @@
         step: ReadyStep,
         rooms: Sequence[WorkerRoom],
     ) -> bool:
-        # Only whole: members that wait for others hold room for nothing.
+        # A gang starts as a whole; members that wait for others would occupy
+        # capacity without working.
         if len(step.waiting) < step.spec.count:
             return False
-        if any(self._must_wait(step, _key(step, at)) for at in step.waiting):
+        if any(
+            self._must_wait(step, _task_key(step, at)) for at in step.waiting
+        ):
             return True
-        chosen = _fit_all(step, rooms)
+        chosen = _fit_gang(step, rooms)
         if chosen is None:
-            self._near.note_waiting(step, len(step.waiting))
+            self._locality.add_queued(step, len(step.waiting))
             return False
         run = max(_next_run(step, index) for index in step.waiting)
         for member, taken in chosen:
@@ -238,7 +243,7 @@
         run: int,
     ) -> None:
         room.add(key, step.spec)
-        self._caps.take(step.job, step.spec.amounts)
+        self._caps.add_start(step.job, step.spec.amounts)
         task = step.job.task(key)
         if task is not None and task.crash_count:
             self._note_suspect(step, room, task.crash_count)
@@ -250,8 +255,8 @@
         task = step.job.task(key)
         return task is not None and self._suspects.must_wait(key, task)
 
-    def _kept_apart(self, step: ReadyStep, key: TaskKey) -> Apart:
-        """Return from what a task is kept; users of serving ones don't wait."""
+    def _isolation_of(self, step: ReadyStep, key: TaskKey) -> Apart:
+        """Return a task's isolation; serving tasks are never held back."""
         task = step.job.task(key)
         if task is None or step.spec.is_service:
             return Apart.FROM_NOTHING
@@ -263,64 +268,66 @@
         room: WorkerRoom,
         crashes: int,
     ) -> None:
-        room.note_suspect(step.job.spec.job_id, crashes)
-        close_trials(self._rooms[self._service_of(step)])
+        room.add_suspect(step.job.spec.job_id, crashes)
+        close_trial_workers(self._rooms[self._service_of(step)])
 
 
-def keep_for_trial(
+def reserve_for_trial(
     step: ReadyStep,
     rooms: Sequence[WorkerRoom],
     pool: Sequence[WorkerRoom],
 ) -> None:
-    """Keep others away from a worker for a task that has to run alone.
+    """Reserve the emptiest worker for a task that has to run alone.
 
     Parameters
     ----------
     step
-        Whose task it is.
-    rooms, pool
-        The workers that may take it, and all of its service.
+        The step that the task belongs to.
+    rooms
+        The workers that may run the task.
+    pool
+        All workers of its service.
     """
     job_id = step.job.spec.job_id
     trials = [room for room in pool if room.trial_job]
-    if len(trials) >= _most_closed(pool):
+    if len(trials) >= _max_closed(pool):
         return
     if any(room.trial_job == job_id for room in trials):
         return
     emptiest = min(
-        (room for room in rooms if room.may_run_empty_for(step.spec)),
+        (room for room in rooms if room.can_host_trial(step.spec)),
         key=lambda room: (sum(room.steps.values()), room.name),
         default=None,
     )
     if emptiest is not None:
         emptiest.trial_job = job_id
-        close_trials(pool)
+        close_trial_workers(pool)
 
 
-def close_trials(rooms: Sequence[WorkerRoom]) -> None:
-    """Keep others away from tasks that have to run alone.
+def close_trial_workers(rooms: Sequence[WorkerRoom]) -> None:
+    """Close reserved workers to the tasks of other jobs.
 
-    Most of a pool stays open: with many such tasks at once those that find no
-    worker for themselves wait, and then run beside others.
+    Most of a pool stays open.  With many isolated tasks at once, those without
+    a worker of their own wait for a while and then run beside others.
     """
     trials = [room for room in rooms if room.trial_job]
-    trials.sort(key=lambda room: room.has_others(room.trial_job))
-    allowed = _most_closed(rooms)
+    trials.sort(key=lambda room: room.runs_other_jobs(room.trial_job))
+    allowed = _max_closed(rooms)
     for number, room in enumerate(trials):
         room.is_closed = number < allowed
 
 
-def _most_closed(rooms: Sequence[WorkerRoom]) -> int:
-    return max(int(len(rooms) * _MOST_CLOSED_RATIO), 1)
+def _max_closed(rooms: Sequence[WorkerRoom]) -> int:
+    return max(int(len(rooms) * _MAX_CLOSED_RATIO), 1)
 
 
-def _fit_all(
+def _fit_gang(
     step: ReadyStep,
     rooms: Sequence[WorkerRoom],
 ) -> list[tuple[TaskKey, WorkerRoom]] | None:
-    """Return where all waiting tasks of a step fit together, if they do."""
-    if not fits_whole(step, rooms):
-        # Most that wait are told so without trying it out.
+    """Return a worker for each task of a gang, or None if it does not fit."""
+    if not fits_all_tasks(step, rooms):
+        # This cheap check rules out most gangs that don't fit.
         return None
     copies = [
         dataclasses.replace(room, steps=room.steps.copy()) for room in rooms
@@ -328,7 +335,7 @@
     originals = dict(zip(map(id, copies), rooms, strict=True))
     chosen: list[tuple[TaskKey, WorkerRoom]] = []
     for index in step.waiting:
-        key = _key(step, index)
+        key = _task_key(step, index)
         task = step.job.task(key)
         crashes = task.crash_count if task else 0
         room = best_room(step, key, copies, crashes)
@@ -339,24 +346,24 @@
     return chosen
 
 
-def _key(step: ReadyStep, index: int) -> TaskKey:
+def _task_key(step: ReadyStep, index: int) -> TaskKey:
     return TaskKey(step.job.spec.job_id, step.occurrence, step.step, index)
 
 
 def _next_run(step: ReadyStep, index: int) -> int:
-    task = step.job.task(_key(step, index))
+    task = step.job.task(_task_key(step, index))
     return task.run + 1 if task else 1
 
 
-def _waits_for_another(
+def _awaits_other_worker(
     step: ReadyStep,
     key: TaskKey,
     room: WorkerRoom,
     rooms: Sequence[WorkerRoom],
 ) -> bool:
-    """Whether a task's last run would be where it failed before.
+    """Whether a task's last attempt would use the worker it failed on.
 
-    A worker that fails all that it starts must not end a job by itself.
+    A worker that fails every task must not make a job fail by itself.
     """
     task = step.job.task(key)
     if task is None or task.worker != room.incarnation.report.worker:
--- a/src/wigeonreach/scheduling/_preempting.py
+++ b/src/wigeonreach/scheduling/_preempting.py
@@ -1,7 +1,7 @@
-"""Make room for serving tasks by stopping batch work.
+"""Preempt batch runs to free capacity for serving tasks.
 
-Answers the case of a serving task that lost its worker while its pool is
-full: its users wait, while batch work can be done again.
+A serving task may lose its worker while its pool is full.  Its users are
+waiting, while batch work can be repeated.
 """
 
 from __future__ import annotations
@@ -11,22 +11,22 @@
 
 from wigeonreach._room import Room
 from wigeonreach.jobs import JobStore, Run, TaskKey
-from wigeonreach.scheduling._backlog import part_of
+from wigeonreach.scheduling._backlog import vm_share
 from wigeonreach.scheduling._ready import ReadyStep
 from wigeonreach.scheduling._room_left import WorkerRoom
 
 
 @dataclasses.dataclass(slots=True)
-class RoomMade:
-    """What is done for the serving tasks that found no room.
+class Preemption:
+    """What is done for serving tasks without a worker.
 
     Attributes
     ----------
     stops
-        Batch runs that leave.
+        Batch runs to be stopped.
     homeless
-        VMs that the tasks fill for which it would not help, by service and
-        label.
+        Number of VMs needed by the tasks that preemption can't help, by
+        service and label.
     """
 
     stops: set[Run] = dataclasses.field(default_factory=set)
@@ -34,8 +34,8 @@
         default_factory=dict,
     )
 
-    def note_homeless(self, service: str, label: str, vms: float) -> None:
-        """Count tasks in that fill so many VMs."""
+    def add_homeless(self, service: str, label: str, vms: float) -> None:
+        """Add tasks that need a number of VMs."""
         by_label = self.homeless.setdefault(service, {})
         by_label[label] = by_label.get(label, 0) + vms
 
@@ -46,38 +46,38 @@
     store: JobStore,
     stopping: set[Run],
     vm_room: Room,
-) -> RoomMade:
-    """Find room for the serving tasks among steps that found none.
+) -> Preemption:
+    """Choose batch runs to preempt for unplaced serving tasks.
 
     Parameters
     ----------
     unplaced
-        Steps with tasks that found no room.
+        Steps with tasks that fit on no worker.
     rooms
-        The workers that may take something, by service.
+        The workers that accept tasks, by service.
     store
-        What runs where.
+        The replicated state, which tells what runs where.
     stopping
-        What is being stopped already; its room is waited for.
+        Runs that are being stopped already; their capacity is counted on.
     vm_room
-        What a VM holds.
+        Capacity of one VM.
     """
-    made = RoomMade()
+    preemption = Preemption()
     free = {service: list(found) for service, found in rooms.items()}
     for step in unplaced:
         if not step.spec.is_service:
             continue
         service = store.service_of(step.job)
-        leaving = stopping | made.stops
-        found = victims_for(step, free.get(service, ()), store, leaving)
+        stopped = stopping | preemption.stops
+        found = victims_for(step, free.get(service, ()), store, stopped)
         if found is None:
-            filled = part_of(step.spec.room, vm_room) * len(step.waiting)
-            made.note_homeless(service, step.spec.label, filled)
+            filled = vm_share(step.spec.room, vm_room) * len(step.waiting)
+            preemption.add_homeless(service, step.spec.label, filled)
             continue
         room, runs = found
-        made.stops.update(runs)
+        preemption.stops.update(runs)
         free[service].remove(room)
-    return made
+    return preemption
 
 
 def victims_for(
@@ -86,35 +86,35 @@
     store: JobStore,
     stopping: set[Run],
 ) -> tuple[WorkerRoom, tuple[Run, ...]] | None:
-    """Return where room can be made for one task, and what has to stop.
+    """Return the worker to free for one task, and the runs to stop there.
 
     Parameters
     ----------
     step
-        The step that finds no room.
+        The step of the task that fits on no worker.
     rooms
-        The workers that may take it.
+        The workers that may run the task.
     store
-        What runs where.
+        The replicated state, which tells what runs where.
     stopping
-        What is being stopped already; its room is waited for.
+        Runs that are being stopped already; their capacity is counted on.
 
     Returns
     -------
     tuple or None
-        The worker for which the fewest runs stop, and these runs; None if
-        it would not help anywhere.
+        The worker where the fewest runs have to stop, and these runs; None
+        if stopping batch runs does not help on any worker.
     """
     key = TaskKey(step.job.spec.job_id, step.occurrence, step.step, 0)
     options = [
         (room, found)
         for room in rooms
-        if (found := _stops_on(room, step, key, store, stopping)) is not None
+        if (found := _victims_on(room, step, key, store, stopping)) is not None
     ]
     return min(options, key=lambda option: len(option[1]), default=None)
 
 
-def _stops_on(
+def _victims_on(
     room: WorkerRoom,
     step: ReadyStep,
     key: TaskKey,
@@ -122,24 +122,24 @@
     stopping: set[Run],
 ) -> tuple[Run, ...] | None:
     spec = step.spec
-    if not room.allows(key, spec):
+    if not room.meets_constraints(key, spec):
         return None
-    left = room.left
-    chosen: list[Run] = []
-    for run, freed in _batch_runs(room, store):
-        if left.holds(spec.room):
+    free = room.left
+    victims: list[Run] = []
+    for run, freed in _preemptible_runs(room, store):
+        if free.holds(spec.room):
             break
-        left += freed
+        free += freed
         if run not in stopping:
-            chosen.append(run)
-    return tuple(chosen) if left.holds(spec.room) else None
+            victims.append(run)
+    return tuple(victims) if free.holds(spec.room) else None
 
 
-def _batch_runs(
+def _preemptible_runs(
     room: WorkerRoom,
     store: JobStore,
 ) -> list[tuple[Run, Room]]:
-    """Return what may be stopped, the least progress in front."""
+    """Return the batch runs of a worker, those with least progress first."""
     progress = {row.task: row.percent for row in room.incarnation.running}
     held = store.held_by(room.incarnation.report.worker)
     found: list[tuple[int, Run, Room]] = []
--- a/src/wigeonreach/scheduling/_progress.py
+++ b/src/wigeonreach/scheduling/_progress.py
@@ -1,10 +1,10 @@
-"""Find runs that stand still, and how fast the others go.
+"""Detect stalled runs, and measure the progress of the others.
 
-Answers workers that look healthy while what runs on them stands still or
-takes several times as long: their tasks decide when a step ends, so they are
-stopped early and done elsewhere, and the worker is chosen last.  A gang ends
-together, so a member that is done stands still until the slowest is: a gang
-moves as long as one member does.
+A worker may look healthy while its runs stall or take several times as long.
+Such runs decide when a step ends, so they are stopped early and restarted
+elsewhere, and the worker is chosen last.  The members of a gang end together,
+so a finished member shows no progress until the slowest one is done: a gang is
+stalled only if none of its members makes progress.
 """
 
 from __future__ import annotations
@@ -16,32 +16,32 @@
 
 from wigeonreach.jobs import JobStore, Run, StepSpec, TaskKey
 from wigeonreach.scheduling._incarnation import Incarnation
-from wigeonreach.scheduling._objectives import estimate_s
+from wigeonreach.scheduling._objectives import task_estimate_s
 from wigeonreach.scheduling._pacing import FULL_PACE
-from wigeonreach.scheduling._speeds import Stretch, WorkerSpeeds
+from wigeonreach.scheduling._speeds import ProgressSample, WorkerSpeeds
 from wigeonreach.wire._worker_messages import RunningTask
 
-# Heartbeats come every quarter of a second, and a task that works moves by a
-# percent in a hundredth of its time: this is several heartbeats.
+# Several heartbeats: these come every quarter of a second, and a working task
+# advances by a percent in a hundredth of its run time.
 _STALLED_S = 1.5
-# Long tasks move by a percent only now and then.
+# Share of the estimate; a long task takes a while to advance by a percent.
 _STALLED_RATIO = 0.05
-# A new worker may be cold for as long as it says; a serving task that does not
-# come to work in this time does not come at all.
-_NO_START_S = 4.0
-_WHOLE_PERCENT = 100
-# A stop is ordered with the next heartbeat, takes up to 0.4 s and is told with
-# another one.
+# A new worker may take as long to warm up as it declares; a serving task that
+# is not working after this time never will.
+_START_TIMEOUT_S = 4.0
+_COMPLETE_PERCENT = 100
+# A stop is ordered with the next heartbeat, takes up to 0.4 s and is reported
+# with another heartbeat.
 _RESTART_S = 0.8
-# How long a run takes elsewhere is an estimate, so it has to be much less.
-_GAIN_RATIO = 1.3
-# What was moved once stays: the worker may not have been the cause.
+# The run time elsewhere is an estimate, so the gain has to be large.
+_MIN_GAIN_RATIO = 1.3
+# Only a first run is moved, as the worker may not have been the cause.
 _FIRST_RUN = 1
 
 
 @dataclasses.dataclass(slots=True)
-class _Seen:
-    """A run, and how far it was when its worker last told."""
+class _RunProgress:
+    """Progress of a run as of its worker's last heartbeat."""
 
     percent: int
     began_s: float
@@ -49,12 +49,12 @@
 
 
 class ProgressWatch:
-    """What heartbeats tell of the runs' progress."""
+    """Tracks the progress of runs by their workers' heartbeats."""
 
     def __init__(self) -> None:
-        """Have seen nothing."""
-        self._seen: dict[Run, _Seen] = {}
-        # When a run, or a gang under the run of its first member, last moved.
+        """Start without any runs."""
+        self._seen: dict[Run, _RunProgress] = {}
+        # When a run last made progress; a gang is kept under its first member.
         self._moved_s: dict[Run, float] = {}
         self._speeds = WorkerSpeeds()
 
@@ -65,43 +65,43 @@
         pace_percent: int | None,
         now_s: float,
     ) -> list[Run]:
-        """Take a heartbeat; return the runs that stand still.
+        """Process a heartbeat and return the stalled runs.
 
         Parameters
         ----------
         incarnation
-            Whose heartbeat it was.
+            The worker that sent the heartbeat.
         store
-            What runs.
+            The replicated state.
         pace_percent
-            At which share of its speed batch work was told to run, or None.
+            Share of full speed at which batch work was told to run, or None.
         now_s
             Clock in seconds.
         """
         stalled: list[Run] = []
-        stretches: list[Stretch] = []
+        samples: list[ProgressSample] = []
         is_paced = pace_percent is not None and pace_percent < FULL_PACE
         for row in incarnation.running:
             spec = store.spec_of(row.task)
             if spec is None:
                 continue
-            if not is_paced and _tells_speed(spec, incarnation):
-                stretches.extend(self._stretch(row, spec, now_s))
-            moving = _moving_part(row, spec)
-            seen = self._look(row, moving, is_paced, now_s)
-            still_s = now_s - self._moved_s[moving]
-            if _is_stalled(spec, seen, still_s, now_s):
+            if not is_paced and _reflects_worker_speed(spec, incarnation):
+                samples.extend(self._sample(row, spec, now_s))
+            progress_key = _progress_key(row, spec)
+            progress = self._update(row, progress_key, is_paced, now_s)
+            unchanged_s = now_s - self._moved_s[progress_key]
+            if _is_stalled(spec, progress, unchanged_s, now_s):
                 stalled.append((row.task, row.run))
-        self._speeds.note(incarnation.report.worker, stretches, now_s)
+        self._speeds.note(incarnation.report.worker, samples, now_s)
         return stalled
 
     def worked_s(self, run: Run, until_s: float) -> float:
-        """Return for how long a run was listed in this term, 0 if never."""
-        seen = self._seen.get(run)
-        return until_s - seen.began_s if seen else 0.0
+        """Return how long a run has been reported in this term, 0 if never."""
+        progress = self._seen.get(run)
+        return until_s - progress.began_s if progress else 0.0
 
     def slow(self, workers: Iterable[str], now_s: float) -> dict[str, float]:
-        """Return the workers of a service that are slow, and how much."""
+        """Return the slow workers of a service with their slowdown factors."""
         return self._speeds.slow(workers, now_s)
 
     def laggards(
@@ -110,57 +110,61 @@
         store: JobStore,
         slower_times: float,
     ) -> list[Run]:
-        """Return the runs of a slow worker that end sooner if begun elsewhere.
+        """Return the runs of a slow worker that would end sooner elsewhere.
 
         Parameters
         ----------
         incarnation
             The worker.
         store
-            What runs.
+            The replicated state.
         slower_times
-            How many times as long as on others a run takes there.
+            Slowdown factor compared with the other workers.
         """
         return [
             (row.task, row.run)
             for row in incarnation.running
             if row.run == _FIRST_RUN
             and (spec := store.spec_of(row.task)) is not None
-            and _tells_speed(spec, incarnation)
-            and _lags(row, spec, slower_times)
+            and _reflects_worker_speed(spec, incarnation)
+            and _ends_sooner_elsewhere(row, spec, slower_times)
         ]
 
-    def _stretch(
+    def _sample(
         self,
         row: RunningTask,
         spec: StepSpec,
         now_s: float,
-    ) -> Iterator[Stretch]:
-        """Yield what a run got done since it was last told of, if it works."""
-        seen = self._seen.get((row.task, row.run))
-        if seen is None:
+    ) -> Iterator[ProgressSample]:
+        """Yield the progress of a run since its previous heartbeat, if any."""
+        progress = self._seen.get((row.task, row.run))
+        if progress is None:
             return
-        done = (row.percent - seen.percent) / _WHOLE_PERCENT
-        yield Stretch(done * estimate_s(spec), now_s - seen.heard_s)
+        done = (row.percent - progress.percent) / _COMPLETE_PERCENT
+        yield ProgressSample(
+            done * task_estimate_s(spec), now_s - progress.heard_s
+        )
 
-    def _look(
+    def _update(
         self,
         row: RunningTask,
-        moving: Run,
+        progress_key: Run,
         is_paced: bool,
         now_s: float,
-    ) -> _Seen:
+    ) -> _RunProgress:
         run = (row.task, row.run)
-        seen = self._seen.setdefault(run, _Seen(row.percent, now_s, now_s))
-        seen.heard_s = now_s
-        self._moved_s.setdefault(moving, now_s)
-        if row.percent != seen.percent or is_paced:
-            seen.percent = row.percent
-            self._moved_s[moving] = now_s
-        return seen
+        progress = self._seen.setdefault(
+            run, _RunProgress(row.percent, now_s, now_s)
+        )
+        progress.heard_s = now_s
+        self._moved_s.setdefault(progress_key, now_s)
+        if row.percent != progress.percent or is_paced:
+            progress.percent = row.percent
+            self._moved_s[progress_key] = now_s
+        return progress
 
     def forget(self, worker: str, runs: Mapping[TaskKey, int]) -> None:
-        """Drop what is known of a dead worker and its runs."""
+        """Drop a dead worker and its runs."""
         self._speeds.forget(worker)
         for run in runs.items():
             self.forget_run(run)
@@ -171,23 +175,25 @@
         self._moved_s.pop(run, None)
 
 
-def _tells_speed(spec: StepSpec, incarnation: Incarnation) -> bool:
+def _reflects_worker_speed(spec: StepSpec, incarnation: Incarnation) -> bool:
     """Whether a run's progress depends on its own worker alone.
 
-    Away from its data a run is slow on the soundest worker.
+    Away from its data a run is slow even on a healthy worker.
     """
     is_far = spec.data_rack and spec.data_rack != incarnation.report.rack
     return not (is_far or spec.is_service or spec.is_gang)
 
 
-def _lags(row: RunningTask, spec: StepSpec, slower_times: float) -> bool:
-    whole_s = estimate_s(spec)
-    left_s = whole_s * (1 - row.percent / _WHOLE_PERCENT) * slower_times
-    return left_s > _GAIN_RATIO * (whole_s + _RESTART_S)
+def _ends_sooner_elsewhere(
+    row: RunningTask, spec: StepSpec, slower_times: float
+) -> bool:
+    total_s = task_estimate_s(spec)
+    left_s = total_s * (1 - row.percent / _COMPLETE_PERCENT) * slower_times
+    return left_s > _MIN_GAIN_RATIO * (total_s + _RESTART_S)
 
 
-def _moving_part(row: RunningTask, spec: StepSpec) -> Run:
-    """Return what moves or stands still as one: a run, or its whole gang."""
+def _progress_key(row: RunningTask, spec: StepSpec) -> Run:
+    """Return the run under which progress is kept: its own, or its gang's."""
     if not spec.is_gang:
         return row.task, row.run
     return msgspec.structs.replace(row.task, index=0), row.run
@@ -195,17 +201,17 @@
 
 def _is_stalled(
     spec: StepSpec,
-    seen: _Seen,
-    still_s: float,
+    progress: _RunProgress,
+    unchanged_s: float,
     now_s: float,
 ) -> bool:
-    is_whole = seen.percent >= _WHOLE_PERCENT
+    is_complete = progress.percent >= _COMPLETE_PERCENT
     if spec.is_service:
-        return not is_whole and now_s - seen.began_s > _NO_START_S
-    if spec.is_gang and is_whole:
+        return not is_complete and now_s - progress.began_s > _START_TIMEOUT_S
+    if spec.is_gang and is_complete:
         return False
     allowed_s = max(_STALLED_S, spec.estimate_ms / 1000 * _STALLED_RATIO)
-    if spec.is_gang and not seen.percent:
-        # It waits for members that are still to come.
-        allowed_s = max(allowed_s, _NO_START_S)
-    return still_s > allowed_s
+    if spec.is_gang and not progress.percent:
+        # The gang waits for members that have not started.
+        allowed_s = max(allowed_s, _START_TIMEOUT_S)
+    return unchanged_s > allowed_s
--- a/src/wigeonreach/scheduling/_ready.py
+++ b/src/wigeonreach/scheduling/_ready.py
@@ -1,10 +1,9 @@
-"""Find the steps that may start, and put them into the order of service.
+"""Find the steps that may start, and sort them by priority.
 
-Answers the load pattern of short peaks: a queue asks for several times what
-its pool holds for some seconds and for little in between.  What can still be
-finished within its objective goes first, by least laxity; what can't, and what
-is put back so that others can, is done in the order of the work that it still
-needs.
+Load comes in short peaks: for some seconds a queue asks for several times
+what its pool can run, and for little in between.  Steps that can still finish
+within their objective go first, by least laxity.  Steps that can't, and those
+deferred in favor of others, follow in the order of their remaining work.
 """
 
 from __future__ import annotations
@@ -19,36 +18,36 @@
 from wigeonreach.scheduling._backlog import StepWork
 from wigeonreach.scheduling._notes import Note
 from wigeonreach.scheduling._objectives import (
-    chain_s,
-    estimate_s,
+    critical_path_s,
+    task_estimate_s,
     objective_of,
-    tasks_left,
-    work_s,
+    unfinished_tasks,
+    remaining_work_s,
 )
 from wigeonreach.scheduling._triage import (
-    OccurrenceName,
-    PendingJob,
-    put_back,
+    OccurrenceId,
+    PendingOccurrence,
+    deferred_occurrences,
 )
 
-# An occurrence counts as work to come from so long before it is due: a VM
-# that is ordered then is there in time.
-_AHEAD_S = 2.0
-# The time of day may be off; a job that waits for longer than this is late
-# whatever its age is.
-_OLDEST_S = 30.0
-_MS = 1000.0
+# An occurrence counts as work this long before it is due, so that a VM ordered
+# at that moment arrives in time.
+_LOOKAHEAD_S = 2.0
+# Limits the effect of a wrong wall clock; a job that has waited for longer than
+# this is late whatever its exact age.
+_MAX_AGE_S = 30.0
+_MS_PER_S = 1000.0
 
 
-# By occurrence and number of the step.
+# When each step became ready, by occurrence and step number.
 _ReadySince = dict[tuple[int, int], float]
-_Occurrences = tuple[PendingJob, ...]
+_PendingOccurrences = tuple[PendingOccurrence, ...]
 _NO_CAPS: Mapping[str, float] = MappingProxyType({})
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AcceptedWork:
-    """What a new job asks of a service."""
+    """The work that a new job brings to a service."""
 
     service: str
     steps: tuple[StepWork, ...]
@@ -60,12 +59,16 @@
 
     Attributes
     ----------
+    waiting
+        Indices of the tasks that have not started.
+    due_ms
+        Wall clock time from which the occurrence may run.
     latest_start_s
         When it has to start for its occurrence to end within its objective.
     work_s
         Processor seconds that its occurrence still needs.
-    ready_s
-        Since when it may start.
+    ready_since_s
+        When it became ready to start.
     """
 
     job: JobRecord
@@ -75,41 +78,41 @@
     due_ms: int
     latest_start_s: float
     work_s: float
-    ready_s: float = 0.0
+    ready_since_s: float = 0.0
 
     @property
     def spec(self) -> StepSpec:
-        """What its tasks need."""
+        """The specification of the step."""
         return self.job.spec.steps[self.step]
 
 
 class ReadySteps:
-    """The steps that may start, kept up to date job by job.
+    """The steps that may start, updated incrementally per changed job.
 
     Attributes
     ----------
     notes
-        Jobs that were put back for the first time, not logged yet.
+        First deferrals of jobs that are still to be logged.
     """
 
     def __init__(self) -> None:
-        """Know no job."""
+        """Start without any jobs."""
         self._by_job: dict[str, tuple[ReadyStep, ...]] = {}
         self._accepted_s: dict[str, float] = {}
-        # What is not done of each service's jobs, one entry an occurrence.
-        self._pending: dict[str, dict[str, _Occurrences]] = {}
+        # Unfinished occurrences of each job, by service and job id.
+        self._pending: dict[str, dict[str, _PendingOccurrences]] = {}
         self._serving: dict[str, tuple[str, int]] = {}
-        # Since when each step of a job may start, by occurrence and number.
-        self._since_s: dict[str, _ReadySince] = {}
-        self._told: set[OccurrenceName] = set()
+        # When each step of a job became ready, by job id.
+        self._ready_since_s: dict[str, _ReadySince] = {}
+        self._reported_deferrals: set[OccurrenceId] = set()
         self.notes: list[Note] = []
 
     def work(self, now_s: float) -> dict[str, list[StepWork]]:
-        """Return what each service still owes, but for what is due later."""
+        """Return the unfinished work of each service, except for later work."""
         return {
             service: [
                 step
-                for pending in self._begun(service, now_s + _AHEAD_S)
+                for pending in self._startable_by(service, now_s + _LOOKAHEAD_S)
                 for step in pending.steps
             ]
             for service in self._pending
@@ -123,7 +126,7 @@
         return needed
 
     def accepted_s(self, job_id: str) -> float | None:
-        """Return when a job was first seen here."""
+        """Return when a job was accepted, or None if it is unknown."""
         return self._accepted_s.get(job_id)
 
     def refresh(
@@ -132,7 +135,7 @@
         now_s: float,
         wall_ms: float,
     ) -> list[AcceptedWork]:
-        """Look again at the jobs that changed.
+        """Update the steps of the jobs that changed.
 
         Parameters
         ----------
@@ -141,12 +144,12 @@
         now_s
             Clock in seconds.
         wall_ms
-            Time of day.
+            Wall clock in milliseconds.
 
         Returns
         -------
         list of AcceptedWork
-            For each job that is new, its first occurrence.
+            The first occurrence of each new job.
         """
         changed = store.changed
         store.changed = set()
@@ -157,20 +160,22 @@
             if is_new and job is not None:
                 age_s = _age_s(job, wall_ms)
                 self._accepted_s[job_id] = now_s - age_s
-            self._refresh_job(store, job_id, _Clocks(now_s, wall_ms))
+            self._refresh_job(store, job_id, _ClockReadings(now_s, wall_ms))
             if is_new:
-                accepted.extend(self._work_of(job_id))
+                accepted.extend(self._first_occurrence_of(job_id))
         return accepted
 
-    def _work_of(self, job_id: str) -> list[AcceptedWork]:
+    def _first_occurrence_of(self, job_id: str) -> list[AcceptedWork]:
         return [
             AcceptedWork(service, pending.steps)
             for service, jobs in self._pending.items()
             for pending in jobs.get(job_id, ())[:1]
         ]
 
-    def _begun(self, service: str, until_s: float) -> Iterator[PendingJob]:
-        """Yield what may begin until then and is not done."""
+    def _startable_by(
+        self, service: str, until_s: float
+    ) -> Iterator[PendingOccurrence]:
+        """Yield the unfinished occurrences that may run by a given time."""
         for occurrences in self._pending.get(service, {}).values():
             for pending in occurrences:
                 if pending.begin_s <= until_s:
@@ -186,14 +191,18 @@
         self,
         store: JobStore,
         job_id: str,
-        clocks: _Clocks,
+        clocks: _ClockReadings,
     ) -> None:
         self._forget(job_id)
         job = store.jobs.get(job_id)
         if job is None:
             self._accepted_s.pop(job_id, None)
-            self._since_s.pop(job_id, None)
-            self._told = {told for told in self._told if told[0] != job_id}
+            self._ready_since_s.pop(job_id, None)
+            self._reported_deferrals = {
+                deferral
+                for deferral in self._reported_deferrals
+                if deferral[0] != job_id
+            }
             return
         if not job.is_active:
             return
@@ -201,24 +210,24 @@
             clocks.begin_s(job, occurrence, self._accepted_s[job_id])
             for occurrence, _ in enumerate(job.occurrences)
         ]
-        since_s = self._since_s.setdefault(job_id, {})
-        left = [
-            _pending(job, occurrence, begin_s)
+        since_s = self._ready_since_s.setdefault(job_id, {})
+        unfinished = [
+            _pending_occurrence(job, occurrence, begin_s)
             for occurrence, begin_s in enumerate(begins_s)
         ]
         steps = tuple(
             step
-            for pending in left
+            for pending in unfinished
             for step in _ready_steps(job, pending, since_s, clocks.now_s)
         )
         if steps:
             self._by_job[job_id] = steps
         service = store.service_of(job)
         if job.spec.is_serving:
-            self._serving[job_id] = (service, _workers_for(job))
+            self._serving[job_id] = (service, _serving_workers_needed(job))
             return
         self._pending.setdefault(service, {})[job_id] = tuple(
-            pending for pending in left if pending.steps
+            pending for pending in unfinished if pending.steps
         )
 
     def in_order(
@@ -228,73 +237,83 @@
         processors: Mapping[str, float],
         caps: Mapping[str, float] = _NO_CAPS,
     ) -> list[ReadyStep]:
-        """Return the steps that are due, those to be served first in front.
+        """Return the steps that are due, highest priority first.
 
         Parameters
         ----------
         now_s
             Clock in seconds.
         wall_ms
-            Time of day.
+            Wall clock in milliseconds.
         processors
-            That each service has now.
+            Processors that each service has now.
         caps
-            Processors that each workspace with a cap may have.
+            Processors that each workspace with a cap may use.
         """
-        waiting = self._put_back(now_s, processors, caps)
+        deferred = self._deferred(now_s, processors, caps)
         due = [
             step
             for steps in self._by_job.values()
             for step in steps
             if step.due_ms <= wall_ms
         ]
-        due.sort(key=lambda step: _rank(step, now_s, waiting))
+        due.sort(key=lambda step: _sort_key(step, now_s, deferred))
         return due
 
-    def _put_back(
+    def _deferred(
         self,
         now_s: float,
         processors: Mapping[str, float],
         caps: Mapping[str, float],
-    ) -> set[OccurrenceName]:
-        """Return what waits for others, and take note of what is new."""
-        waiting = self._over_caps(now_s, caps)
+    ) -> set[OccurrenceId]:
+        """Return the deferred occurrences, and note those deferred newly."""
+        deferred = self._deferred_by_caps(now_s, caps)
         for service in self._pending:
-            has = processors.get(service, 0)
-            begun = list(self._begun(service, now_s))
-            # What its cap keeps from being in time takes nothing from others.
-            sharing = [each for each in begun if each.name not in waiting]
-            found = put_back(sharing, has, now_s)
-            for pending in begun:
-                if pending.name in found - self._told:
-                    reason = _why_put_back(pending, has, len(begun), now_s)
+            available = processors.get(service, 0)
+            startable = list(self._startable_by(service, now_s))
+            # An occurrence that its cap already makes late takes no
+            # processors from the others.
+            competing = [
+                occurrence
+                for occurrence in startable
+                if occurrence.occurrence_id not in deferred
+            ]
+            overloaded = deferred_occurrences(competing, available, now_s)
+            for pending in startable:
+                if (
+                    pending.occurrence_id
+                    in overloaded - self._reported_deferrals
+                ):
+                    reason = _deferral_reason(
+                        pending, available, len(startable), now_s
+                    )
                     note = Note(LogEvent.JOB_PUT_BACK, pending.job_id, reason)
                     self.notes.append(note)
-            self._told |= found
-            waiting |= found
-        return waiting
+            self._reported_deferrals |= overloaded
+            deferred |= overloaded
+        return deferred
 
-    def _over_caps(
+    def _deferred_by_caps(
         self,
         now_s: float,
         caps: Mapping[str, float],
-    ) -> set[OccurrenceName]:
-        """Return what the caps of workspaces keep from being in time."""
-        capped: dict[str, list[PendingJob]] = {}
+    ) -> set[OccurrenceId]:
+        """Return the occurrences that a workspace cap makes late."""
+        capped: dict[str, list[PendingOccurrence]] = {}
         for service in self._pending if caps else ():
-            for pending in self._begun(service, now_s):
+            for pending in self._startable_by(service, now_s):
                 if pending.workspace in caps:
                     capped.setdefault(pending.workspace, []).append(pending)
         return {
             name
             for workspace, jobs in capped.items()
-            for name in put_back(jobs, caps[workspace], now_s)
+            for name in deferred_occurrences(jobs, caps[workspace], now_s)
         }
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Clocks:
-    """The steady clock and the time of day at one moment."""
+class _ClockReadings:
+    """The monotonic clock and the wall clock, read at the same moment."""
 
     now_s: float
     wall_ms: float
@@ -305,22 +324,22 @@
         occurrence: int,
         accepted_s: float,
     ) -> float:
-        """Return from when an occurrence may run, on the steady clock."""
+        """Return when an occurrence may start, on the monotonic clock."""
         if not job.spec.is_timed:
             return accepted_s
         due_in_ms = job.spec.due_ms(occurrence) - self.wall_ms
-        return max(accepted_s, self.now_s + due_in_ms / _MS)
+        return max(accepted_s, self.now_s + due_in_ms / _MS_PER_S)
 
 
 def _age_s(job: JobRecord, wall_ms: float) -> float:
-    """Return for how long a job has waited, as far as is known."""
+    """Return how long a job has waited, 0 if that is unknown."""
     if not job.accepted_ms:
         return 0
-    return min(max((wall_ms - job.accepted_ms) / _MS, 0), _OLDEST_S)
+    return min(max((wall_ms - job.accepted_ms) / _MS_PER_S, 0), _MAX_AGE_S)
 
 
-def _why_put_back(
-    pending: PendingJob,
+def _deferral_reason(
+    pending: PendingOccurrence,
     processors: float,
     jobs: int,
     now_s: float,
@@ -331,21 +350,21 @@
     )
 
 
-def _pending(
+def _pending_occurrence(
     job: JobRecord,
     occurrence: int,
     begin_s: float,
-) -> PendingJob:
+) -> PendingOccurrence:
     steps = tuple(
-        StepWork(step, left, estimate_s(step), job.workspace)
+        StepWork(step, left, task_estimate_s(step), job.workspace)
         for number, step in enumerate(job.spec.steps)
-        if (left := tasks_left(job, occurrence, number))
+        if (left := unfinished_tasks(job, occurrence, number))
     )
-    return PendingJob(
+    return PendingOccurrence(
         job_id=job.spec.job_id,
-        work_s=work_s(job, occurrence),
+        work_s=remaining_work_s(job, occurrence),
         due_s=begin_s + objective_of(job),
-        chain_s=chain_s(job, occurrence),
+        critical_path_s=critical_path_s(job, occurrence),
         occurrence=occurrence,
         begin_s=begin_s,
         steps=steps,
@@ -353,30 +372,32 @@
     )
 
 
-def _workers_for(job: JobRecord) -> int:
-    """Return on how many workers a job's serving tasks should be."""
+def _serving_workers_needed(job: JobRecord) -> int:
+    """Return on how many workers a job's serving tasks should run."""
     return max(
-        math.ceil(step.count / most_together(step)) for step in job.spec.steps
+        math.ceil(step.count / max_tasks_per_worker(step))
+        for step in job.spec.steps
     )
 
 
-def most_together(step: StepSpec) -> int:
+def max_tasks_per_worker(step: StepSpec) -> int:
     """Return how many serving tasks of a step should share a worker.
 
-    No worker's loss takes all of a step, and two workers are enough for that:
-    on a third, five tasks would keep a VM of each pool from moving.
+    Two workers are enough for a step to survive the loss of one.  Spreading
+    five tasks over a third worker would keep one more VM of each pool from
+    moving.
     """
     half = math.ceil(step.count / 2)
     return min(step.spread_limit, half) if step.spread_limit else half
 
 
-def _rank(
+def _sort_key(
     step: ReadyStep,
     now_s: float,
-    waiting: Collection[OccurrenceName],
+    deferred: Collection[OccurrenceId],
 ) -> tuple[float, ...]:
-    is_waiting = (step.job.spec.job_id, step.occurrence) in waiting
-    is_late = is_waiting or now_s > step.latest_start_s
+    is_deferred = (step.job.spec.job_id, step.occurrence) in deferred
+    is_late = is_deferred or now_s > step.latest_start_s
     urgency = step.work_s if is_late else step.latest_start_s
     return (
         float(not step.spec.is_service),
@@ -388,13 +409,13 @@
 
 def _ready_steps(
     job: JobRecord,
-    pending: PendingJob,
+    pending: PendingOccurrence,
     since_s: _ReadySince,
     now_s: float,
 ) -> Iterator[ReadyStep]:
-    """Yield the steps of an occurrence whose turn has come.
+    """Yield the steps of an occurrence that may start.
 
-    Since when each of them may start is kept in ``since_s``.
+    Records in ``since_s`` when each of them became ready.
     """
     occurrence = pending.occurrence
     ready_s = max(pending.begin_s, now_s)
@@ -411,7 +432,7 @@
                 step=number,
                 waiting=waiting,
                 due_ms=job.spec.due_ms(occurrence),
-                latest_start_s=pending.due_s - pending.chain_s,
+                latest_start_s=pending.due_s - pending.critical_path_s,
                 work_s=pending.work_s,
-                ready_s=since_s.setdefault((occurrence, number), ready_s),
+                ready_since_s=since_s.setdefault((occurrence, number), ready_s),
             )
--- a/src/wigeonreach/scheduling/_room_book.py
+++ b/src/wigeonreach/scheduling/_room_cache.py
@@ -1,8 +1,8 @@
-"""Keep what each worker has left, so that a plan looks only at changes.
+"""Cache the free capacity of each worker between plans.
 
-Answers a fleet of hundreds of workers whose queues are full for seconds: a
-plan is made several times in a tenth of a second, and between two of them
-only a few workers have changed.
+In a fleet of hundreds of workers whose queues are full for seconds, a plan is
+made several times in a tenth of a second, and only a few workers change
+between two plans.
 """
 
 from __future__ import annotations
@@ -15,25 +15,25 @@
 from wigeonreach.scheduling._room_left import WorkerRoom, room_left
 
 
-class RoomBook:
-    """The room of all workers of one term.
+class RoomCache:
+    """Cached free capacity of all workers, for one term.
 
     Parameters
     ----------
     store
-        What runs where.
+        The replicated state, which tells what runs where.
     progress
-        For how long it has run.
+        Tells how long runs have been going on.
     """
 
     def __init__(self, store: JobStore, progress: ProgressWatch) -> None:
-        """Know no worker's room."""
+        """Start with an empty cache."""
         self._store = store
         self._progress = progress
         self._rooms: dict[str, WorkerRoom] = {}
 
     def forget(self, worker: str) -> None:
-        """Count a worker's room anew when it is next asked for."""
+        """Drop a worker's cached capacity."""
         self._rooms.pop(worker, None)
 
     def of(
@@ -41,10 +41,10 @@
         incarnation: Incarnation,
         stopping: Collection[Run],
     ) -> WorkerRoom:
-        """Return what a worker has left beside all that it has or may have.
+        """Return a worker's free capacity beside everything it may run.
 
-        Whoever puts something on it that is not recorded has to ``forget``
-        it afterwards.
+        A caller that places unrecorded tasks on the returned object has to
+        call ``forget`` afterwards.
         """
         self._forget_reassigned()
         worker = incarnation.report.worker
--- a/src/wigeonreach/scheduling/_room_left.py
+++ b/src/wigeonreach/scheduling/_room_left.py
@@ -1,4 +1,4 @@
-"""Tell how much room each worker has left, and what is on it."""
+"""Track the free capacity of a worker, and the tasks on it."""
 
 from __future__ import annotations
 
@@ -15,31 +15,35 @@
 
 @dataclasses.dataclass(slots=True)
 class WorkerRoom:
-    """What one worker has left while a plan is made.
+    """Free capacity of one worker while a plan is made.
 
     Attributes
     ----------
+    incarnation
+        The worker.
+    left
+        Free capacity.
     steps
-        How many tasks of each step of an occurrence are on it.
+        Number of tasks on it, by job id, occurrence and step.
     serving
-        How many serving tasks are on it.
+        Number of serving tasks on it.
     has_target
-        Some of them must answer within a time, which what runs beside them
-        may spoil.
+        Some serving task on it has a latency target, which other tasks on the
+        worker may violate.
     is_reserved
-        Room is being made on it for a serving task.
+        Batch runs on it are being stopped for a serving task.
     is_slow
-        Its runs take much longer than on other workers, or are slowed down.
-    is_wanted_near
-        Some task that waits has its data on its rack.
+        Its runs take much longer than on other workers, or are paced.
+    has_local_demand
+        Some waiting task has its data on the worker's rack.
     suspects
         Jobs of tasks on it whose workers crashed before.
     trial_job
-        Job of a task that has to run alone, as two workers crashed under it.
+        Job of a task that has to run alone, as two of its workers crashed.
     is_closed
-        Nothing of other jobs may be put beside that task.
+        Tasks of other jobs may not be placed beside that task.
     has_crashed_lately
-        An earlier worker of its VM went down a short time ago.
+        An earlier worker of its VM crashed a short time ago.
     """
 
     incarnation: Incarnation
@@ -49,7 +53,7 @@
     has_target: bool = False
     is_reserved: bool = False
     is_slow: bool = False
-    is_wanted_near: bool = False
+    has_local_demand: bool = False
     suspects: set[str] = dataclasses.field(default_factory=set)
     trial_job: str = ''
     is_closed: bool = False
@@ -65,53 +69,54 @@
         return self.incarnation.report.labels
 
     def add(self, key: TaskKey, spec: StepSpec) -> None:
-        """Put a task on it."""
+        """Place a task on the worker."""
         self.left = self.left - spec.room
         self.steps[key.job_id, key.occurrence, key.step] += 1
         self.serving += spec.is_service
         self.has_target |= spec.is_service and spec.latency_target_ms > 0
 
     def holds(self, key: TaskKey, spec: StepSpec) -> bool:
-        """Whether a task may be put on it."""
+        """Whether a task may be placed on the worker now."""
         if self.is_reserved and not spec.is_service:
             return False
         if self.is_closed and key.job_id != self.trial_job:
-            # Serving tasks have users that wait: for them it only costs more.
+            # Users wait for serving tasks, so for these a closed worker is not
+            # excluded but only costs more.
             return spec.is_service and self._has_room(key, spec)
         return self._has_room(key, spec)
 
-    def note_suspect(self, job_id: str, crashes: int) -> None:
-        """Take note that a task on it may bring it down."""
+    def add_suspect(self, job_id: str, crashes: int) -> None:
+        """Record that a task on the worker may crash it."""
         if crashes:
             self.suspects.add(job_id)
         if crashes >= CRASHES_BEFORE_TRIAL:
             self.trial_job = job_id
 
-    def has_others(self, job_id: str) -> bool:
-        """Whether tasks of other jobs are on it."""
+    def runs_other_jobs(self, job_id: str) -> bool:
+        """Whether tasks of other jobs are on the worker."""
         return any(on_it[0] != job_id for on_it in self.steps)
 
-    def keeps_apart(self, job_id: str, apart: Apart) -> bool:
-        """Whether a job's task is kept there from what it has to be."""
+    def isolates(self, job_id: str, apart: Apart) -> bool:
+        """Whether the worker gives a job's task the isolation it needs."""
         if apart is Apart.FROM_SUSPECTS:
             return self.suspects <= {job_id}
         if apart is Apart.FROM_ALL:
             is_kept = self.is_closed and self.trial_job == job_id
-            return is_kept and not self.has_others(job_id)
+            return is_kept and not self.runs_other_jobs(job_id)
         return True
 
-    def may_run_empty_for(self, spec: StepSpec) -> bool:
-        """Whether others may be kept from it until a task is alone there."""
+    def can_host_trial(self, spec: StepSpec) -> bool:
+        """Whether the worker can be reserved for a task that runs alone."""
         if self.serving or self.trial_job or self.is_reserved:
             return False
         has_label = not spec.label or spec.label in self._labels
         return has_label and self.incarnation.room.holds(spec.room)
 
     def _has_room(self, key: TaskKey, spec: StepSpec) -> bool:
-        return self.left.holds(spec.room) and self.allows(key, spec)
+        return self.left.holds(spec.room) and self.meets_constraints(key, spec)
 
     def count(self, key: TaskKey, spec: StepSpec) -> int:
-        """Return how many tasks of a step may be put on it."""
+        """Return how many tasks of a step may be placed on the worker."""
         if not self.holds(key, spec):
             return 0
         fitting = self.left.count(spec.room)
@@ -120,8 +125,8 @@
         same = self.steps[key.job_id, key.occurrence, key.step]
         return min(fitting, spec.spread_limit - same)
 
-    def allows(self, key: TaskKey, spec: StepSpec) -> bool:
-        """Whether a task may be put on it once there is room."""
+    def meets_constraints(self, key: TaskKey, spec: StepSpec) -> bool:
+        """Whether the worker suits a task apart from its free capacity."""
         if spec.label and spec.label not in self._labels:
             return False
         same = self.steps[key.job_id, key.occurrence, key.step]
@@ -133,7 +138,7 @@
     store: JobStore,
     progress: ProgressWatch,
 ) -> WorkerRoom:
-    """Return what a worker has left beside all that it has or may have."""
+    """Return a worker's free capacity beside everything it may run."""
     worker = incarnation.report.worker
     room = WorkerRoom(incarnation, incarnation.room, collections.Counter())
     held = store.held_by(worker)
@@ -143,9 +148,9 @@
         if task is None or not task.crash_count:
             continue
         if progress.worked_s((key, run), incarnation.heard_s) < SOUND_S:
-            room.note_suspect(key.job_id, task.crash_count)
+            room.add_suspect(key.job_id, task.crash_count)
     for row in incarnation.running:
-        # What is being stopped takes room until its end is listed.
+        # A run that is being stopped uses capacity until its end is reported.
         if row.task not in held:
             _add_known(room, row.task, store)
     return room
--- a/src/wigeonreach/scheduling/_second_runs.py
+++ b/src/wigeonreach/scheduling/_second_runs.py
@@ -1,9 +1,10 @@
-"""Find runs that are begun anew elsewhere before they end.
+"""Find runs to restart on another worker before they end.
 
-Answers workers that are slow or cut off for some seconds: what they have would
-end after its job is due.  A run of a slow worker is stopped first; one that can't
-be reached goes on, so only work that may run twice is begun again before its
-lease is over.
+A worker may be slow or unreachable for some seconds, so that its runs would
+end after their jobs are due.  Runs of a slow worker are stopped and restarted
+elsewhere.  Runs of an unreachable worker can't be stopped and may go on, so
+only tasks that may run twice get a speculative copy before the worker's lease
+is over.
 """
 
 from __future__ import annotations
@@ -19,12 +20,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Laggards:
-    """Runs of a slow worker that end sooner if begun elsewhere.
+    """Runs of a slow worker that would end sooner on another worker.
 
     Attributes
     ----------
+    worker
+        The slow worker.
+    runs
+        The runs that would end sooner elsewhere.
     slower_times
-        How many times as long as on others a run takes there.
+        Slowdown factor compared with the other workers.
     """
 
     worker: str
@@ -38,7 +43,7 @@
     store: JobStore,
     now_s: float,
 ) -> Iterator[Laggards]:
-    """Yield what slow workers would end later than others would."""
+    """Yield, for each slow worker, the runs that should move."""
     by_service: dict[str, list[str]] = collections.defaultdict(list)
     for worker, known in incarnations.items():
         by_service[known.report.service].append(worker)
@@ -55,10 +60,10 @@
     store: JobStore,
     now_s: float,
 ) -> Iterator[tuple[Incarnation, Run]]:
-    """Yield the runs of silent workers beside which a copy may run.
+    """Yield the runs of silent workers that may get a speculative copy.
 
-    What may have brought a worker down has no copy: it would take down three in
-    the time of one.
+    A task that may have crashed a worker gets no copy: copies would crash three
+    workers in the time in which it would otherwise crash one.
     """
     for worker, incarnation in incarnations.items():
         if not incarnation.is_silent(now_s):
--- a/src/wigeonreach/scheduling/_speeds.py
+++ b/src/wigeonreach/scheduling/_speeds.py
@@ -1,9 +1,9 @@
-"""Tell slow workers from the others by how fast their runs go on.
+"""Detect slow workers by the progress of their runs.
 
-Answers workers that take several times as long for some seconds: their runs
-would end after that, so the speed is taken from the progress between two
-heartbeats.  Estimates of single steps are wrong by up to the double, but not
-those of all that runs on one worker, compared with what runs on the others.
+A worker may take several times as long for some seconds.  Its runs end only
+after that, so the speed is measured from the progress between two heartbeats.
+Estimates of single steps are wrong by up to a factor of two, but the average
+over all runs of one worker can be compared with that of the others.
 """
 
 from __future__ import annotations
@@ -12,90 +12,95 @@
 import statistics
 from collections.abc import Iterable
 
-# Of the newest heartbeat in a worker's speed: a change shows in three of them.
-_NEWEST_RATIO = 0.5
-# Sizes differ by half and estimates by more, so only much slower is told from
-# chance.
+# Weight of the newest heartbeat in the moving average of a worker's speed; a
+# change shows after three heartbeats.
+_NEWEST_WEIGHT = 0.5
+# Task sizes differ by half and estimates by more, so only a much slower worker
+# can be told from chance.
 _SLOW_RATIO = 2.5
-# Whoever gets less than this done stands still.
-_LEAST_RATIO = 0.01
-# Runs that went on, before a worker's speed counts.
-_LEAST_RUNS = 3
-# What is older tells nothing of a worker's speed now.
+# Lower bound of a speed when a slowdown factor is computed; a worker below it
+# makes no progress at all.
+_MIN_RATIO = 0.01
+# Progress samples needed before a worker's speed counts; also the number of
+# workers needed for a comparison.
+_MIN_SAMPLES = 3
+# Older speeds say nothing about a worker's current speed.
 _FRESH_S = 3.0
 
 
 @dataclasses.dataclass(slots=True)
 class _Speed:
-    """How much declared work a run gets done in a second."""
+    """Moving average of the estimated work that runs do per second."""
 
     ratio: float
-    runs: int
+    samples: int
     heard_s: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Stretch:
-    """What one run got done between two heartbeats.
+class ProgressSample:
+    """Progress of one run between two heartbeats.
 
     Attributes
     ----------
     done_s
-        Part of its declared time that it moved on by.
+        Part of its estimated run time that was completed.
+    elapsed_s
+        Time between the heartbeats.
     """
 
     done_s: float
-    passed_s: float
+    elapsed_s: float
 
 
 class WorkerSpeeds:
-    """The speed of each worker's runs."""
+    """Speed of the runs of each worker."""
 
     def __init__(self) -> None:
-        """Know no worker."""
+        """Start without any workers."""
         self._speeds: dict[str, _Speed] = {}
 
     def note(
         self,
         worker: str,
-        stretches: Iterable[Stretch],
+        samples: Iterable[ProgressSample],
         now_s: float,
     ) -> None:
-        """Take what the runs of a worker got done since its last heartbeat."""
-        seen = list(stretches)
-        passed_s = sum(stretch.passed_s for stretch in seen)
-        if not passed_s:
+        """Record the progress of a worker's runs since its last heartbeat."""
+        measured = list(samples)
+        elapsed_s = sum(stretch.elapsed_s for stretch in measured)
+        if not elapsed_s:
             return
-        ratio = sum(stretch.done_s for stretch in seen) / passed_s
-        known = self._speeds.setdefault(worker, _Speed(ratio, 0, now_s))
-        known.ratio += _NEWEST_RATIO * (ratio - known.ratio)
-        known.runs += len(seen)
-        known.heard_s = now_s
+        ratio = sum(stretch.done_s for stretch in measured) / elapsed_s
+        speed = self._speeds.setdefault(worker, _Speed(ratio, 0, now_s))
+        speed.ratio += _NEWEST_WEIGHT * (ratio - speed.ratio)
+        speed.samples += len(measured)
+        speed.heard_s = now_s
 
     def forget(self, worker: str) -> None:
-        """Drop what is known of a dead worker."""
+        """Drop the speed of a dead worker."""
         self._speeds.pop(worker, None)
 
     def slow(self, workers: Iterable[str], now_s: float) -> dict[str, float]:
-        """Return who of a service's workers is much slower than the others.
+        """Return the workers of a service that are much slower than the others.
 
         Returns
         -------
         dict of str to float
-            How many times as long as on the others runs take on each.
+            Slowdown factor of each slow worker.
         """
-        known = {
+        ratios = {
             worker: speed.ratio
             for worker in workers
             if (speed := self._speeds.get(worker)) is not None
-            and speed.runs >= _LEAST_RUNS
+            and speed.samples >= _MIN_SAMPLES
             and now_s - speed.heard_s <= _FRESH_S
         }
-        if len(known) < _LEAST_RUNS:
+        if len(ratios) < _MIN_SAMPLES:
             return {}
-        usual = statistics.median(known.values())
+        median_ratio = statistics.median(ratios.values())
         return {
-            worker: usual / max(ratio, _LEAST_RATIO)
-            for worker, ratio in known.items()
-            if ratio * _SLOW_RATIO < usual
+            worker: median_ratio / max(ratio, _MIN_RATIO)
+            for worker, ratio in ratios.items()
+            if ratio * _SLOW_RATIO < median_ratio
         }
--- a/src/wigeonreach/scheduling/_triage.py
+++ b/src/wigeonreach/scheduling/_triage.py
@@ -1,12 +1,12 @@
-"""Choose which jobs of a full pool are still finished in time.
+"""Choose the jobs of an overloaded pool that still finish on time.
 
-Answers peaks that ask for more than a pool can do within the objectives of
-its jobs.  By least laxity alone every job then waits until it is just too
-late, and nearly all are late together.  Here the jobs are taken by their due
-times, and whenever they can't all be done until one of them is due, the one
-with the most work is put back: so as many jobs as possible are in time
-(Moore and Hodgson's rule for one machine).  What is put back is not refused;
-it runs where room is left, and after the peak.
+During a peak the jobs of a pool may need more than it can do within their
+objectives.  With least laxity alone every job would wait until it is just too
+late, and nearly all would be late.  The Moore-Hodgson algorithm for a single
+machine minimizes the number of late jobs: it takes jobs in the order of their
+due times, and whenever they can't all finish by the due time of the last one,
+it defers the job with the most work.  Deferred jobs are not rejected; they run
+where capacity is left, and after the peak.
 """
 
 from __future__ import annotations
@@ -17,80 +17,82 @@
 
 from wigeonreach.scheduling._backlog import StepWork
 
-# Part of a pool's processors that packing and the gaps between an end and the
-# next start leave unused.
+# Share of a pool's processors that can be used.  The rest is lost to packing
+# and to the gaps between the end of one task and the start of the next.
 USABLE_RATIO = 0.85
 
 
-# Id and occurrence.
-OccurrenceName = tuple[str, int]
+# Job id and occurrence number.
+OccurrenceId = tuple[str, int]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class PendingJob:
-    """An occurrence of a job that is not finished.
+class PendingOccurrence:
+    """An unfinished occurrence of a job.
 
     Attributes
     ----------
-    job_id, occurrence
-        Which it is.
+    job_id
+        The job.
     work_s
         Processor seconds that it still needs.
     due_s
-        Until when it is of full use.
-    chain_s
-        Longest chain of work that it still needs.
+        When it has to be finished to meet its objective.
+    critical_path_s
+        Length of the critical path through its unfinished steps.
+    occurrence
+        Number of the occurrence.
     begin_s
-        From when it may run.
+        When it may start.
     steps
-        What is left of its steps.
+        Remaining work of its steps.
     workspace
-        Whose it is.
+        The workspace that submitted the job.
     """
 
     job_id: str
     work_s: float
     due_s: float
-    chain_s: float
+    critical_path_s: float
     occurrence: int = 0
     begin_s: float = 0.0
     steps: tuple[StepWork, ...] = ()
     workspace: str = ''
 
     @property
-    def name(self) -> OccurrenceName:
-        """Its id and its occurrence."""
+    def occurrence_id(self) -> OccurrenceId:
+        """Job id and occurrence number."""
         return self.job_id, self.occurrence
 
 
-def put_back(
-    jobs: Iterable[PendingJob],
+def deferred_occurrences(
+    jobs: Iterable[PendingOccurrence],
     processors: float,
     now_s: float,
-) -> set[OccurrenceName]:
-    """Return the jobs that are to wait for the others.
+) -> set[OccurrenceId]:
+    """Return the occurrences to be deferred in favor of the others.
 
     Parameters
     ----------
     jobs
-        All unfinished jobs of a pool.
+        All unfinished occurrences of a pool.
     processors
-        That the pool has now.
+        Processors that the pool has now.
     now_s
         Clock in seconds.
     """
     usable = processors * USABLE_RATIO
-    kept: list[tuple[float, OccurrenceName]] = []
-    waiting: set[OccurrenceName] = set()
+    on_time: list[tuple[float, OccurrenceId]] = []
+    deferred: set[OccurrenceId] = set()
     needed_s = 0.0
     for job in sorted(jobs, key=lambda pending: pending.due_s):
-        if now_s + job.chain_s > job.due_s:
-            waiting.add(job.name)
+        if now_s + job.critical_path_s > job.due_s:
+            deferred.add(job.occurrence_id)
             continue
-        heapq.heappush(kept, (-job.work_s, job.name))
+        heapq.heappush(on_time, (-job.work_s, job.occurrence_id))
         needed_s += job.work_s
         if needed_s > usable * (job.due_s - now_s):
-            negative_work_s, largest = heapq.heappop(kept)
+            negative_work_s, largest = heapq.heappop(on_time)
             needed_s += negative_work_s
-            waiting.add(largest)
-    return waiting
+            deferred.add(largest)
+    return deferred
--- a/src/wigeonreach/scheduling/pooling/_pool_vms.py
+++ b/src/wigeonreach/scheduling/pooling/_pool_vms.py
@@ -1,4 +1,4 @@
-"""Keep where VMs are, as far as moves between pools go."""
+"""Track the VMs that can move, or are moving, between pools."""
 
 from __future__ import annotations
 
@@ -12,23 +12,29 @@
 from wigeonreach.scheduling._vms import VmPhase, VmRecord
 from wigeonreach.scheduling._workers import Workers
 
-# A VM whose worker is not heard so long after its move is not waited for.
-_JOIN_S = 2.0
-# A zone from which no worker was heard for longer may be cut off: heartbeats
-# come within a second.
+# A VM whose worker sends no heartbeat within this time after the move is no
+# longer counted as incoming.
+_JOIN_TIMEOUT_S = 2.0
+# A zone without heartbeats for longer than this may be cut off, as workers send
+# at least one a second.
 _ZONE_SILENT_S = 1.5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Move:
-    """A VM that is empty and goes to another pool.
+    """The move of an empty VM to another pool.
 
     Attributes
     ----------
+    vm
+        The VM.
+    from_pool, to_pool
+        Names of the pools.
     reason
-        For people; two moves of one VM between the same pools are the same.
+        For operators; it does not count when moves are compared.
     worker
-        The incarnation that the move ends; nothing if none is known there.
+        The worker incarnation that the move ends, or '' if none is known; it
+        does not count when moves are compared.
     """
 
     vm: str
@@ -39,7 +45,7 @@
 
 
 class PoolVms:
-    """The VMs that stand by, that are on their way, and what they carry.
+    """Standby and moving VMs, with the labels and zones of all VMs.
 
     Parameters
     ----------
@@ -48,13 +54,13 @@
     workers
         The incarnations of the workers.
     move_s
-        How long a VM is away while it moves.
+        How long a VM is unavailable while it moves.
     """
 
     def __init__(
         self, store: JobStore, workers: Workers, move_s: float
     ) -> None:
-        """Know no VM."""
+        """Start without any VMs."""
         self._store = store
         self._workers = workers
         self._move_s = move_s
@@ -63,12 +69,12 @@
         self._returning_s: dict[str, float] = {}
         self._labels: dict[str, tuple[str, ...]] = {}
         self._zones: dict[str, str] = {}
-        self._heard_zones: set[str] = set()
+        self._live_zones: set[str] = set()
         self.room = NO_ROOM
 
     @property
     def standby_pool(self) -> str:
-        """The pool whose VMs cost nothing, or nothing."""
+        """Name of the pool whose VMs cost nothing, or '' if there is none."""
         return next(
             (
                 service.name
@@ -80,15 +86,15 @@
 
     @property
     def standby(self) -> set[str]:
-        """VMs that stand by."""
+        """VMs in the standby pool."""
         return set(self._standby)
 
-    def coming_to(self, pool: str) -> list[str]:
-        """Return the VMs that are on their way to a pool."""
+    def incoming(self, pool: str) -> list[str]:
+        """Return the VMs that are moving to a pool."""
         return [vm for vm, (to, _) in self._incoming.items() if to == pool]
 
-    def racks_coming(self) -> set[tuple[str, str]]:
-        """Return from which racks VMs are on their way, with their pools."""
+    def incoming_racks(self) -> set[tuple[str, str]]:
+        """Return the pools and racks of the VMs that are moving."""
         return {
             (pool, label)
             for vm, (pool, _) in self._incoming.items()
@@ -96,24 +102,24 @@
         }
 
     def labels(self, vm: str) -> tuple[str, ...]:
-        """Return what a VM carries, as far as is known."""
+        """Return the known labels of a VM; its rack is one of them."""
         return self._labels.get(vm, ())
 
     def is_reachable(self, vm: str) -> bool:
-        """Whether workers are heard from a VM's zone.
+        """Whether workers in a VM's zone send heartbeats.
 
-        From one in a zone that is cut off nothing would be heard after a move.
+        A VM in a zone that is cut off would not join its new pool.
         """
-        return self._zones.get(vm, '') in self._heard_zones
+        return self._zones.get(vm, '') in self._live_zones
 
     def count_labels(self, vms: Iterable[str]) -> collections.Counter[str]:
-        """Return how many of some VMs carry each label."""
+        """Return how many of some VMs have each label."""
         return collections.Counter(
             label for vm in vms for label in self.labels(vm)
         )
 
     def note_listed(self, vms: Iterable[VmRecord]) -> None:
-        """Take the platform's list."""
+        """Update the VMs from the platform's list."""
         standby = self.standby_pool
         self._standby.clear()
         for record in vms:
@@ -123,7 +129,7 @@
                 self._standby.add(record.vm)
 
     def note_moved(self, move: Move, now_s: float) -> None:
-        """Take note that the platform carries a move out."""
+        """Record that the platform is executing a move."""
         self._standby.discard(move.vm)
         if move.to_pool == self.standby_pool:
             self._returning_s[move.vm] = now_s + self._move_s
@@ -131,40 +137,42 @@
             self._incoming[move.vm] = (move.to_pool, now_s)
 
     def note_failed(self, move: Move) -> None:
-        """Take note that a move was refused."""
+        """Record that a move was refused."""
         self._standby.discard(move.vm)
 
     def refresh(self, now_s: float) -> None:
-        """Look again at what heartbeats tell."""
+        """Update labels, zones and arrivals from the heartbeats."""
         self._forget_arrived(now_s)
-        known = self._workers.incarnations.values()
-        for incarnation in known:
+        incarnations = self._workers.incarnations.values()
+        for incarnation in incarnations:
             report = incarnation.report
             self._labels[report.vm] = report.labels
             self._zones[report.vm] = report.zone
-        self._heard_zones = {
+        self._live_zones = {
             incarnation.report.zone
-            for incarnation in known
+            for incarnation in incarnations
             if now_s - incarnation.heard_s <= _ZONE_SILENT_S
         }
-        self.room = _mean_room(known)
+        self.room = _mean_room(incarnations)
 
     def _forget_arrived(self, now_s: float) -> None:
         for vm, (pool, since_s) in list(self._incoming.items()):
             incarnation = self._workers.of_vm(vm)
-            is_here = (
+            has_arrived = (
                 incarnation is not None and incarnation.report.service == pool
             )
-            if is_here or now_s - since_s > self._move_s + _JOIN_S:
+            if has_arrived or now_s - since_s > self._move_s + _JOIN_TIMEOUT_S:
                 self._incoming.pop(vm)
-        back = [vm for vm, at_s in self._returning_s.items() if at_s <= now_s]
-        for vm in back:
+        returned = [
+            vm for vm, at_s in self._returning_s.items() if at_s <= now_s
+        ]
+        for vm in returned:
             self._returning_s.pop(vm)
             self._standby.add(vm)
 
 
 def _mean_room(incarnations: Iterable[Incarnation]) -> Room:
-    # Sums of plain numbers: this is done for the whole fleet ten times a second.
+    # Sums plain numbers: this runs for the whole fleet ten times a second.
     rooms = [incarnation.room for incarnation in incarnations]
     if not rooms:
         return NO_ROOM
--- a/src/wigeonreach/scheduling/pooling/_pools.py
+++ b/src/wigeonreach/scheduling/pooling/_pools.py
@@ -1,10 +1,10 @@
-"""Decide which VMs move between pools, for some seconds at a time.
+"""Move VMs between pools as demand changes.
 
-Answers turns of demand: the queue of one pool asks for more than its workers
-hold while others are nearly idle, or asks for what none of its workers
-carries.  VMs come from pools that need them least, or from the standby pool,
-where they cost nothing, and go back there once they idle.  A VM is emptied
-first; one with serving tasks on it stays.
+Demand comes in bursts of some seconds: one pool may need more than its workers
+can run while others are nearly idle, or need a label that none of its workers
+has.  VMs come from pools with a surplus, or from the standby pool, where they
+cost nothing, and return to it once they are idle.  A VM is emptied before it
+moves; one with serving tasks stays.
 """
 
 from __future__ import annotations
@@ -15,41 +15,42 @@
 
 from wigeonreach.jobs import JobStore
 from wigeonreach.scheduling._backlog import (
-    ANYWHERE,
-    NOTHING,
+    ANY_LABEL,
+    EMPTY_BACKLOG,
     Backlog,
     StepWork,
-    backlogs,
+    backlog_by_service,
 )
 from wigeonreach.scheduling._incarnation import Incarnation
 from wigeonreach.scheduling._moving_out import is_empty
-from wigeonreach.scheduling._near import NearRooms
+from wigeonreach.scheduling._locality import DataLocality
 from wigeonreach.scheduling._ready import AcceptedWork
 from wigeonreach.scheduling._settings import SchedulingSettings
 from wigeonreach.scheduling._vms import VmRecord
 from wigeonreach.scheduling._workers import Workers
 from wigeonreach.scheduling.pooling._demand import ServiceDemand
 from wigeonreach.scheduling.pooling._pool_vms import Move, PoolVms
-from wigeonreach.scheduling.pooling._pool_wants import (
+from wigeonreach.scheduling.pooling._pool_needs import (
     PoolSize,
     ServingNeed,
-    Wanted,
-    wanted_by,
+    RequiredVms,
+    required_vms,
 )
 
-# What arrives before a VM that is ordered now works.
+# Work that arrives within this time is counted in, as a VM ordered now starts
+# to work only after it.
 _LOOKAHEAD_S = 1.5
-# A VM that is not needed stays for this, as the next turn may need it.
-_IDLE_S = 1.5
-# What a term knows of demand at its start is too little to send VMs away.
+# How long a pool keeps surplus VMs, as the next burst may need them.
+_IDLE_TIMEOUT_S = 1.5
+# How long a new leader keeps surplus VMs, as it knows too little of the demand.
 _SETTLE_S = 8.0
-# A VM that can't be emptied in this time stays where it is.
-_EMPTY_S = 1.0
+# A VM that is not empty within this time stays in its pool.
+_EMPTYING_TIMEOUT_S = 1.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Emptying:
-    """A VM that is about to move."""
+class _PendingMove:
+    """A move that waits for its VM to be empty."""
 
     to_pool: str
     since_s: float
@@ -58,28 +59,30 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PoolState:
-    """One pool now.
+    """Current state of one pool.
 
     Attributes
     ----------
+    name
+        Name of the pool, which is that of its service.
     incarnations
-        Workers that may take work.
-    wanted
+        Workers that accept tasks.
+    required
         VMs that its work needs.
     """
 
     name: str
     incarnations: tuple[Incarnation, ...]
-    wanted: Wanted
+    required: RequiredVms
 
     @property
     def vms(self) -> list[str]:
-        """VMs of its workers."""
+        """VMs of the pool's workers."""
         return [worker.report.vm for worker in self.incarnations]
 
 
 class PoolPlanner:
-    """Follow the pools, for the leader of one term.
+    """Plans the moves between pools, for the leader of one term.
 
     Parameters
     ----------
@@ -88,7 +91,7 @@
     workers
         The incarnations of the workers.
     settings
-        What is known of the platform.
+        Properties of the platform.
     now_s
         When the term began.
     """
@@ -100,7 +103,7 @@
         settings: SchedulingSettings,
         now_s: float,
     ) -> None:
-        """Move nothing yet."""
+        """Start without any moves."""
         self.vms = PoolVms(store, workers, settings.move_s)
         self._store = store
         self._workers = workers
@@ -109,35 +112,35 @@
         self._demand: dict[str, ServiceDemand] = collections.defaultdict(
             ServiceDemand,
         )
-        self._emptying: dict[str, _Emptying] = {}
+        self._pending_moves: dict[str, _PendingMove] = {}
         self._surplus_since_s: dict[str, float] = {}
 
     @property
     def cordoned(self) -> set[str]:
-        """VMs that get nothing new."""
-        return set(self._emptying)
+        """VMs that get no new tasks."""
+        return set(self._pending_moves)
 
-    def near_rooms(self, now_s: float) -> NearRooms:
-        """Return what tells which work waits for room near its data."""
-        return NearRooms(self._far_factor, self.vms.racks_coming(), now_s)
+    def near_rooms(self, now_s: float) -> DataLocality:
+        """Return the data locality rules for one plan."""
+        return DataLocality(self._far_factor, self.vms.incoming_racks(), now_s)
 
     def note_accepted(self, work: AcceptedWork, now_s: float) -> None:
-        """Take work that was just accepted."""
+        """Record work that was just accepted."""
         vm_s = sum(step.vm_s(self.vms.room) for step in work.steps)
         self._demand[work.service].note(vm_s, now_s)
 
     def note_vms(self, vms: Iterable[VmRecord]) -> None:
-        """Take the platform's list of VMs."""
+        """Update the VMs from the platform's list."""
         self.vms.note_listed(vms)
 
     def note_moved(self, move: Move, now_s: float) -> None:
-        """Take note that the platform carries a move out."""
-        self._emptying.pop(move.vm, None)
+        """Record that the platform is executing a move."""
+        self._pending_moves.pop(move.vm, None)
         self.vms.note_moved(move, now_s)
 
     def note_failed(self, move: Move) -> None:
-        """Take note that a move was refused."""
-        self._emptying.pop(move.vm, None)
+        """Record that a move was refused."""
+        self._pending_moves.pop(move.vm, None)
         self.vms.note_failed(move)
 
     def step(
@@ -153,23 +156,24 @@
         Parameters
         ----------
         work
-            What is left of the accepted jobs of each service.
+            Remaining work of the accepted jobs of each service.
         serving
-            On how many workers the serving tasks of each are to be spread.
+            Number of workers for the serving tasks of each service.
         homeless
-            VMs that those fill which found no room, by service and label.
+            Number of VMs needed by serving tasks that fit on no worker, by
+            service and label.
         taken
-            VMs that waves have in hand.
+            VMs that maintenance waves use.
         now_s
             Clock in seconds.
         """
         self.vms.refresh(now_s)
-        backlog = backlogs(work, self.vms.room)
+        backlog = backlog_by_service(work, self.vms.room)
         need = ServingNeed(serving, homeless)
         pools = self._pools(backlog, need, taken, now_s)
-        self._fill(pools, taken, now_s)
-        self._give_back(pools, now_s)
-        return self._due(now_s)
+        self._fill_pools(pools, taken, now_s)
+        self._release_idle(pools, now_s)
+        return self._moves_due(now_s)
 
     def _pools(
         self,
@@ -178,58 +182,58 @@
         taken: set[str],
         now_s: float,
     ) -> dict[str, PoolState]:
-        incarnations = self._takers(taken, now_s)
+        incarnations = self._available_workers(taken, now_s)
         pools: dict[str, PoolState] = {}
         for service in self._store.manifest.services:
             if service.is_standby:
                 continue
             name = service.name
-            there = tuple(incarnations[name])
-            vms = [incarnation.report.vm for incarnation in there]
+            workers = tuple(incarnations[name])
+            vms = [incarnation.report.vm for incarnation in workers]
             arriving_vm_s = self._demand[name].rate_at(now_s) * _LOOKAHEAD_S
-            wanted = wanted_by(
+            required = required_vms(
                 name,
-                backlog.get(name, NOTHING),
+                backlog.get(name, EMPTY_BACKLOG),
                 arriving_vm_s,
                 serving,
                 PoolSize(len(vms), self.vms.count_labels(vms)),
                 self._far_factor > 1,
             )
-            pools[name] = PoolState(name, there, wanted)
+            pools[name] = PoolState(name, workers, required)
         return pools
 
-    def _takers(
+    def _available_workers(
         self,
         taken: set[str],
         now_s: float,
     ) -> dict[str, list[Incarnation]]:
-        """Return the workers of each service that may take work."""
-        found: dict[str, list[Incarnation]] = collections.defaultdict(list)
+        """Return the workers of each service that accept tasks."""
+        by_service: dict[str, list[Incarnation]] = collections.defaultdict(list)
         for incarnation in self._workers.incarnations.values():
             vm = incarnation.report.vm
-            is_free = vm not in taken and vm not in self._emptying
+            is_free = vm not in taken and vm not in self._pending_moves
             if is_free and incarnation.may_take(now_s):
-                found[incarnation.report.service].append(incarnation)
-        return found
+                by_service[incarnation.report.service].append(incarnation)
+        return by_service
 
-    def _fill(
+    def _fill_pools(
         self,
         pools: Mapping[str, PoolState],
         taken: set[str],
         now_s: float,
     ) -> None:
-        """Find VMs for the pools that lack most."""
-        lacking = sorted(
+        """Reserve VMs for the pools, largest shortage first."""
+        by_shortage = sorted(
             pools.values(),
-            key=lambda pool: self._have(pool) - pool.wanted.total,
+            key=lambda pool: self._vm_count(pool) - pool.required.total,
         )
-        for pool in lacking:
-            # What carries something goes first, and counts for the rest too.
-            for label in pool.wanted.by_label:
-                self._promise(pool, pools, taken, label, now_s)
-            self._promise(pool, pools, taken, ANYWHERE, now_s)
+        for pool in by_shortage:
+            # VMs with labels go first, as they also count toward the total.
+            for label in pool.required.by_label:
+                self._reserve_vms(pool, pools, taken, label, now_s)
+            self._reserve_vms(pool, pools, taken, ANY_LABEL, now_s)
 
-    def _promise(
+    def _reserve_vms(
         self,
         pool: PoolState,
         pools: Mapping[str, PoolState],
@@ -237,65 +241,65 @@
         label: str,
         now_s: float,
     ) -> None:
-        """Promise a pool the VMs with a label that it lacks, if there are."""
+        """Reserve VMs with a label that a pool lacks, if any can be spared."""
         for _ in range(self._missing(pool, label)):
             vm = self._donor(pool, pools, taken, label)
             if vm is None:
                 return
-            reason = _why(pool, self._have(pool), label)
-            self._emptying[vm] = _Emptying(pool.name, now_s, reason)
+            reason = _move_reason(pool, self._vm_count(pool), label)
+            self._pending_moves[vm] = _PendingMove(pool.name, now_s, reason)
 
     def _missing(self, pool: PoolState, label: str) -> int:
-        """Return how many VMs with a label, or at all, a pool lacks."""
+        """Return how many VMs with a label, or in total, a pool lacks."""
         if not label:
-            return max(pool.wanted.total - self._have(pool), 0)
+            return max(pool.required.total - self._vm_count(pool), 0)
         has = self.vms.count_labels(self._vms_of(pool))
-        return max(pool.wanted.by_label[label] - has[label], 0)
+        return max(pool.required.by_label[label] - has[label], 0)
 
     def _vms_of(self, pool: PoolState) -> list[str]:
-        """Return the VMs that a pool has, or that are promised to it."""
-        promised = [
+        """Return the VMs of a pool, including those reserved for it."""
+        reserved = [
             vm
-            for vm, emptying in self._emptying.items()
-            if emptying.to_pool == pool.name
+            for vm, move in self._pending_moves.items()
+            if move.to_pool == pool.name
         ]
-        # What was promised to others since they were counted is theirs.
-        staying = [vm for vm in pool.vms if vm not in self._emptying]
-        return [*staying, *self.vms.coming_to(pool.name), *promised]
+        # VMs reserved for other pools since the count no longer belong to it.
+        staying = [vm for vm in pool.vms if vm not in self._pending_moves]
+        return [*staying, *self.vms.incoming(pool.name), *reserved]
 
-    def _have(self, pool: PoolState) -> int:
+    def _vm_count(self, pool: PoolState) -> int:
         return len(self._vms_of(pool))
 
     def _donor(
         self,
-        wanting: PoolState,
+        receiver: PoolState,
         pools: Mapping[str, PoolState],
         taken: set[str],
         label: str,
     ) -> str | None:
-        """Return a VM with a label for a pool, if there is one to spare."""
+        """Return a VM with a label that can be spared for a pool, or None."""
         spare = [
             vm
             for pool in pools.values()
-            if pool.name != wanting.name
-            and self._have(pool) > pool.wanted.total
+            if pool.name != receiver.name
+            and self._vm_count(pool) > pool.required.total
             for vm in self._idle_vms(pool)
         ]
-        standby = self.vms.standby - taken - self._emptying.keys()
-        return self._most_useful(spare, wanting, label) or self._most_useful(
-            standby, wanting, label
+        standby = self.vms.standby - taken - self._pending_moves.keys()
+        return self._best_match(spare, receiver, label) or self._best_match(
+            standby, receiver, label
         )
 
-    def _most_useful(
+    def _best_match(
         self,
         vms: Iterable[str],
         pool: PoolState,
         label: str,
     ) -> str | None:
-        """Return the VM with a label that carries most of what is needed.
+        """Return the VM with a label that has most of the required labels.
 
-        One in a zone from which nobody is heard comes last: the zone may be cut
-        off, and the VM of no use.
+        A VM in a zone without heartbeats comes last: the zone may be cut off,
+        and the VM of no use.
         """
         fitting = [
             vm for vm in vms if not label or label in self.vms.labels(vm)
@@ -303,60 +307,60 @@
         fitting.sort(
             key=lambda vm: (
                 not self.vms.is_reachable(vm),
-                -self._use(vm, pool),
+                -self._matching_labels(vm, pool),
                 vm,
             ),
         )
         return next(iter(fitting), None)
 
-    def _use(self, vm: str, pool: PoolState) -> int:
-        """Return how many of the labels that a pool's work needs a VM has."""
+    def _matching_labels(self, vm: str, pool: PoolState) -> int:
+        """Return how many of the labels required by a pool a VM has."""
         return sum(
-            label in pool.wanted.by_label for label in self.vms.labels(vm)
+            label in pool.required.by_label for label in self.vms.labels(vm)
         )
 
-    def _give_back(
+    def _release_idle(
         self,
         pools: Mapping[str, PoolState],
         now_s: float,
     ) -> None:
-        """Send VMs that idle to the standby pool."""
+        """Return idle VMs to the standby pool."""
         standby_pool = self.vms.standby_pool
         if not standby_pool or now_s < self._settled_s:
             return
         for pool in pools.values():
-            surplus = self._have(pool) - pool.wanted.total
+            surplus = self._vm_count(pool) - pool.required.total
             if surplus <= 0:
                 self._surplus_since_s.pop(pool.name, None)
                 continue
             since_s = self._surplus_since_s.setdefault(pool.name, now_s)
-            if now_s - since_s >= _IDLE_S:
-                reason = _why(pool, self._have(pool), ANYWHERE)
-                back = _Emptying(standby_pool, now_s, reason)
+            if now_s - since_s >= _IDLE_TIMEOUT_S:
+                reason = _move_reason(pool, self._vm_count(pool), ANY_LABEL)
+                pending = _PendingMove(standby_pool, now_s, reason)
                 idle = sorted(self._idle_vms(pool))[:surplus]
-                self._emptying.update(dict.fromkeys(idle, back))
+                self._pending_moves.update(dict.fromkeys(idle, pending))
 
-    def _due(self, now_s: float) -> list[Move]:
+    def _moves_due(self, now_s: float) -> list[Move]:
         moves: list[Move] = []
-        for vm, emptying in list(self._emptying.items()):
+        for vm, pending in list(self._pending_moves.items()):
             incarnation = self._workers.of_vm(vm)
             if incarnation is None or is_empty(incarnation, self._store):
-                moves.append(self._move_of(vm, emptying, incarnation))
-            elif now_s - emptying.since_s > _EMPTY_S:
-                self._emptying.pop(vm)
+                moves.append(self._move_of(vm, pending, incarnation))
+            elif now_s - pending.since_s > _EMPTYING_TIMEOUT_S:
+                self._pending_moves.pop(vm)
         return moves
 
     def _move_of(
         self,
         vm: str,
-        emptying: _Emptying,
+        pending: _PendingMove,
         incarnation: Incarnation | None,
     ) -> Move:
         move = Move(
             vm,
             self.vms.standby_pool,
-            emptying.to_pool,
-            emptying.reason,
+            pending.to_pool,
+            pending.reason,
         )
         if incarnation is None:
             return move
@@ -368,24 +372,24 @@
         )
 
     def _idle_vms(self, pool: PoolState) -> list[str]:
-        """Return a pool's VMs with nothing on them that it does not need."""
+        """Return the empty VMs of a pool that it does not need."""
         spare = self.vms.count_labels(self._vms_of(pool))
-        spare.subtract(pool.wanted.by_label)
+        spare.subtract(pool.required.by_label)
         idle: list[str] = []
         for incarnation in pool.incarnations:
             vm = incarnation.report.vm
             needed = [
                 label
                 for label in self.vms.labels(vm)
-                if label in pool.wanted.by_label and spare[label] <= 0
+                if label in pool.required.by_label and spare[label] <= 0
             ]
-            is_idle = vm and vm not in self._emptying and not needed
+            is_idle = vm and vm not in self._pending_moves and not needed
             if is_idle and is_empty(incarnation, self._store):
                 idle.append(vm)
                 spare.subtract(self.vms.labels(vm))
         return idle
 
 
-def _why(pool: PoolState, have: int, label: str) -> str:
-    carrying = f' with {label}' if label else ''
-    return f'{pool.name} wants {pool.wanted.total}{carrying}, has {have}'
+def _move_reason(pool: PoolState, have: int, label: str) -> str:
+    with_label = f' with {label}' if label else ''
+    return f'{pool.name} wants {pool.required.total}{with_label}, has {have}'
--- a/src/wigeonreach/scheduling/sharing/_cap_plan.py
+++ b/src/wigeonreach/scheduling/sharing/_cap_plan.py
@@ -1,52 +1,56 @@
-"""Tell what the caps of workspaces let start while a plan is made."""
+"""Check the task starts of one plan against the caps of workspaces."""
 
 from __future__ import annotations
 
 from wigeonreach.jobs import JobRecord, JobStore, StepSpec
-from wigeonreach.scheduling.sharing._stray_runs import StrayRuns
+from wigeonreach.scheduling.sharing._untracked_runs import UntrackedRuns
 from wigeonreach.workspaces import Amounts, UseBook
 
 
 class CapPlan:
-    """The caps beside what runs, may run and is planned.
+    """Usage of the workspaces' caps while a plan is made.
+
+    Recorded runs, untracked runs and the starts of this plan all count.
 
     Parameters
     ----------
     store
-        What runs where, and the caps; it is only read.
+        The replicated state with the caps; it is only read.
     strays
-        What runs besides.
+        Runs that the replicated state no longer counts.
 
     Attributes
     ----------
-    capped
-        Workspaces by the ids of their jobs that had to wait.
+    capped_jobs
+        Workspace of each job that has to wait for its cap, by job id.
     """
 
-    def __init__(self, store: JobStore, strays: StrayRuns) -> None:
-        """Plan nothing yet."""
+    def __init__(self, store: JobStore, strays: UntrackedRuns) -> None:
+        """Start without planned runs."""
         self._store = store
-        self._strays = strays
+        self._untracked = strays
         self._planned = UseBook()
-        self.capped: dict[str, str] = {}
+        self.capped_jobs: dict[str, str] = {}
 
     def allows(self, job: JobRecord, step: StepSpec) -> bool:
-        """Whether a task or a gang may start; take note if it may not."""
-        return bool(self.most(job, step, 1))
+        """Whether a task or a gang may start; record the job if not."""
+        return bool(self.startable_count(job, step, 1))
 
-    def most(self, job: JobRecord, step: StepSpec, wanted: int) -> int:
-        """Return how many tasks of a step may start; take note if not all may."""
+    def startable_count(
+        self, job: JobRecord, step: StepSpec, wanted: int
+    ) -> int:
+        """Return how many tasks may start; record the job if not all may."""
         workspace = job.workspace
         if not workspace:
             return wanted
-        besides = self._strays.used(workspace) + self._planned.used(workspace)
+        usage = self._untracked.used(workspace) + self._planned.used(workspace)
         for count in range(wanted):
-            if not self._store.is_under_cap(job, step, besides):
-                self.capped[job.spec.job_id] = workspace
+            if not self._store.is_under_cap(job, step, usage):
+                self.capped_jobs[job.spec.job_id] = workspace
                 return count
-            besides += step.least_start
+            usage += step.least_start
         return wanted
 
-    def take(self, job: JobRecord, need: Amounts) -> None:
-        """Count a start in."""
+    def add_start(self, job: JobRecord, need: Amounts) -> None:
+        """Add a planned start to the workspace's usage."""
         self._planned.add(job.workspace, need)
--- a/src/wigeonreach/scheduling/sharing/_cap_watch.py
+++ b/src/wigeonreach/scheduling/sharing/_cap_watch.py
@@ -1,4 +1,4 @@
-"""Follow, for the leader of one term, which jobs wait for their caps."""
+"""Track which jobs wait for their workspace's cap."""
 
 from __future__ import annotations
 
@@ -9,34 +9,34 @@
 from wigeonreach.observe import LogEvent
 from wigeonreach.scheduling._backlog import StepWork
 from wigeonreach.scheduling._notes import Note
-from wigeonreach.scheduling.pooling import FINISH_S
+from wigeonreach.scheduling.pooling import WORK_HORIZON_S
 from wigeonreach.scheduling.sharing._cap_plan import CapPlan
 from wigeonreach.scheduling.sharing._capped_work import within_caps
-from wigeonreach.scheduling.sharing._stray_runs import StrayRuns
+from wigeonreach.scheduling.sharing._untracked_runs import UntrackedRuns
 
 
 class CapWatch:
-    """The caps in one term.
+    """The caps of workspaces, for the leader of one term.
 
     Parameters
     ----------
     store
-        What runs where, and the caps; it is only read.
+        The replicated state with the caps; it is only read.
 
     Attributes
     ----------
     strays
-        What runs without being recorded.
+        Runs that the replicated state no longer counts.
     """
 
     def __init__(self, store: JobStore) -> None:
-        """Know of nothing that waits."""
+        """Start without waiting jobs."""
         self._store = store
-        self.strays = StrayRuns(store)
+        self.strays = UntrackedRuns(store)
         self._waiting: set[str] = set()
 
     def processors(self) -> dict[str, float]:
-        """Return the processors that each workspace with a cap may have."""
+        """Return the processors that each workspace with a cap may use."""
         return {
             spec.name: spec.cap.millicores / MILLICORES
             for spec in self._store.manifest.workspaces or ()
@@ -47,19 +47,20 @@
         self,
         work: Mapping[str, Iterable[StepWork]],
     ) -> dict[str, list[StepWork]]:
-        """Return the work of each service as far as caps let it run."""
-        return within_caps(work, self._store, FINISH_S)
+        """Return the work of each service, reduced to what the caps allow."""
+        return within_caps(work, self._store, WORK_HORIZON_S)
 
     def plan(self) -> CapPlan:
-        """Return the caps for one plan."""
+        """Return the cap usage for a new plan."""
         return CapPlan(self._store, self.strays)
 
     def note_plan(self, plan: CapPlan) -> list[Note]:
-        """Return what to tell of a plan: the jobs that wait since now."""
-        new = plan.capped.keys() - self._waiting
-        self._waiting = set(plan.capped)
+        """Return notes on the jobs that newly wait for their cap."""
+        new = plan.capped_jobs.keys() - self._waiting
+        self._waiting = set(plan.capped_jobs)
         return [
-            self._note(job_id, plan.capped[job_id]) for job_id in sorted(new)
+            self._note(job_id, plan.capped_jobs[job_id])
+            for job_id in sorted(new)
         ]
 
     def _note(self, job_id: str, workspace: str) -> Note:
--- a/src/wigeonreach/scheduling/sharing/_capped_work.py
+++ b/src/wigeonreach/scheduling/sharing/_capped_work.py
@@ -1,4 +1,4 @@
-"""Leave out of what pools want what the caps of workspaces keep from running."""
+"""Limit the work that counts for pool sizes to what the caps allow."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from wigeonreach.scheduling._backlog import StepWork
 from wigeonreach.workspaces import Amounts
 
-# What one workspace owes: seconds of a thousandth of a processor, and of a MB.
-_Owed = tuple[float, float]
+# Work of one workspace, in millicore seconds and in megabyte seconds.
+_WorkTotals = tuple[float, float]
 
 
 def within_caps(
@@ -19,63 +19,71 @@
     store: JobStore,
     horizon_s: float,
 ) -> dict[str, list[StepWork]]:
-    """Return the work of each service as far as caps let it run.
+    """Return the work of each service, reduced to what the caps allow.
 
     Parameters
     ----------
     work
-        What is left of the accepted jobs of each service.
+        Remaining work of the accepted jobs of each service.
     store
-        The caps; it is only read.
+        The replicated state with the caps; it is only read.
     horizon_s
-        Within which it is to run.
+        Time within which the work should be finished.
     """
-    parts = _parts(work, store, horizon_s)
-    if not parts:
+    ratios = _allowed_ratios(work, store, horizon_s)
+    if not ratios:
         return {service: list(steps) for service, steps in work.items()}
     return {
         service: [
-            dataclasses.replace(step, part=parts.get(step.workspace, 1.0))
+            dataclasses.replace(
+                step, allowed_ratio=ratios.get(step.workspace, 1.0)
+            )
             for step in steps
         ]
         for service, steps in work.items()
     }
 
 
-def _parts(
+def _allowed_ratios(
     work: Mapping[str, Iterable[StepWork]],
     store: JobStore,
     horizon_s: float,
 ) -> dict[str, float]:
-    """Return which part of its work each workspace that owes too much may do."""
+    """Return the allowed share of work of each workspace over its cap."""
     caps = {
         spec.name: spec.cap
         for spec in store.manifest.workspaces or ()
         if spec.cap.millicores or spec.cap.memory_mb
     }
-    owed: dict[str, _Owed] = collections.defaultdict(lambda: (0.0, 0.0))
+    totals: dict[str, _WorkTotals] = collections.defaultdict(lambda: (0.0, 0.0))
     for steps in work.values():
         for step in steps:
             if step.workspace in caps:
-                owed[step.workspace] = _add(owed[step.workspace], step)
-    parts = {
-        name: _part(caps[name], amounts, horizon_s)
-        for name, amounts in owed.items()
+                totals[step.workspace] = _add(totals[step.workspace], step)
+    ratios = {
+        name: _allowed_ratio(caps[name], amounts, horizon_s)
+        for name, amounts in totals.items()
     }
-    return {name: part for name, part in parts.items() if part < 1}
+    return {name: ratio for name, ratio in ratios.items() if ratio < 1}
 
 
-def _add(owed: _Owed, step: StepWork) -> _Owed:
+def _add(totals: _WorkTotals, step: StepWork) -> _WorkTotals:
     need = step.spec.amounts
-    lasts_s = step.tasks * step.lasts_s
-    return owed[0] + need.millicores * lasts_s, owed[
+    duration_s = step.tasks * step.task_duration_s
+    return totals[0] + need.millicores * duration_s, totals[
         1
-    ] + need.memory_mb * lasts_s
+    ] + need.memory_mb * duration_s
 
 
-def _part(cap: Amounts, owed: _Owed, horizon_s: float) -> float:
-    limits = zip((cap.millicores, cap.memory_mb), owed, strict=True)
+def _allowed_ratio(
+    cap: Amounts, totals: _WorkTotals, horizon_s: float
+) -> float:
+    limits = zip((cap.millicores, cap.memory_mb), totals, strict=True)
     return min(
-        (most * horizon_s / has for most, has in limits if most and has),
+        (
+            limit * horizon_s / total
+            for limit, total in limits
+            if limit and total
+        ),
         default=1.0,
     )
--- a/tests/builders_jobs.py
+++ b/tests/builders_jobs.py
@@ -1,4 +1,4 @@
-"""Build manifests, jobs and workers, and lead them without a network."""
+"""Builders of manifests, jobs and workers, with a leader in memory."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 
 def manifest(*queues: QueueSpec, version: int = 1) -> Manifest:
-    """Return a manifest of one service."""
+    """Return a manifest with one service."""
     return Manifest(
         version=version,
         queues=queues or (queue(),),
@@ -71,7 +71,7 @@
 
 
 def serving_step(count: int = 3, **changes: object) -> StepSpec:
-    """Return a step of tasks that serve, one on a worker."""
+    """Return a step of serving tasks, one per worker."""
     fields: dict[str, object] = {
         'is_service': True,
         'spread_limit': 1,
@@ -83,12 +83,12 @@
 
 
 def job(*steps: StepSpec, job_id: str = JOB) -> JobSpec:
-    """Return a job that runs once, at once."""
+    """Return a job that runs once and is due at once."""
     return JobSpec(job_id, 'payload', steps or (step(),))
 
 
 def key(index: int = 0, step_number: int = 0, job_id: str = JOB) -> TaskKey:
-    """Return a task of the first occurrence."""
+    """Return the key of a task of the first occurrence."""
     return TaskKey(job_id, 0, step_number, index)
 
 
@@ -103,14 +103,20 @@
 
 
 class FakeLead(VirtualLead):
-    """A leader that hears stand-in workers.
+    """A leader with stand-in workers, without a network.
 
     Parameters
     ----------
     store
         The replicated state.
     workers
-        Who sends heartbeats to it.
+        The workers that send it heartbeats.
+    term
+        Number of its term.
+    now_s
+        When the term begins, in seconds.
+    settings
+        Settings of the scheduler.
     """
 
     def __init__(
@@ -126,7 +132,7 @@
         self.workers = {worker.name: worker for worker in workers}
 
     def round(self, passed_s: float = 0.1) -> None:
-        """Hear all workers, plan, and let them obey."""
+        """Process all heartbeats, plan, and deliver the orders."""
         self.now_s += passed_s
         for worker in self.workers.values():
             self.hear(worker)
@@ -140,7 +146,7 @@
                 )
 
     def hear(self, worker: StandInWorker) -> None:
-        """Take one heartbeat in."""
+        """Process one heartbeat of a worker."""
         self.take(worker.report())
 
     def cancel(self, job_id: str = JOB) -> None:
@@ -153,16 +159,16 @@
         limit: int,
         due_after_s: float = 20.0,
     ) -> None:
-        """Accept wave 1."""
+        """Commit the start of maintenance wave 1."""
         commit(self.store, StartWave(1, tuple(vms), due_after_s, limit))
 
     def record_vm(self, vm: str, reached: VmStep, worker: str = '') -> None:
-        """Record how far a VM of wave 1 is."""
+        """Record the step that a VM of wave 1 has reached."""
         commit(self.store, RecordVmStep(self.term, 1, vm, reached, worker))
 
 
 def workers(count: int) -> list[StandInWorker]:
-    """Return workers on VMs of their own."""
+    """Return workers that each run on their own VM."""
     return [
         StandInWorker(f'w{number}', f'vm{number}') for number in range(count)
     ]
--- a/tests/builders_workspaces.py
+++ b/tests/builders_workspaces.py
@@ -1,4 +1,4 @@
-"""Build manifests, calls and stores of several workspaces."""
+"""Builders of manifests, requests and stores with workspaces."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
     cap: Amounts = NO_AMOUNTS,
     weight: int = 1,
 ) -> WorkspaceSpec:
-    """Return a workspace that some API keys stand for."""
+    """Return a workspace with some API keys."""
     keys = api_keys or (_KEYS[name],)
     return WorkspaceSpec(name, tuple(map(credential_of, keys)), weight, cap)
 
@@ -49,7 +49,7 @@
     *workspaces: WorkspaceSpec,
     version: int = 1,
 ) -> Manifest:
-    """Return a manifest of a queue for workspaces and one for everybody."""
+    """Return a manifest with a workspace queue and a public queue."""
     plain = manifest(
         queue(),
         queue(PUBLIC_QUEUE, is_public=True),
@@ -78,12 +78,12 @@
     api_key: str = KEY,
     queue_name: str = QUEUE,
 ) -> None:
-    """Hand a job in with an API key."""
+    """Submit a job with an API key."""
     commit(store, AddJob(spec, queue_name, 0, credential_of(api_key)))
 
 
 def numbered_job(number: int, *steps: StepSpec) -> JobSpec:
-    """Return a job with an id of its own."""
+    """Return a job whose id is derived from a number."""
     return job(*(steps or (step(),)), job_id=f'{number:016x}')
 
 
@@ -97,7 +97,7 @@
 
 
 def tenant_text(name: str, *api_keys: str, **more: object) -> Body:
-    """Return a workspace, as the platform names it."""
+    """Return a workspace in the platform's format."""
     return {'name': name, 'apiKeys': list(api_keys), **more}
 
 
@@ -107,6 +107,6 @@
     authorization: str = '',
     body: bytes = b'',
 ) -> HttpRequest:
-    """Return a request with what it says of its caller."""
+    """Return a request, with an Authorization header if given."""
     headers = {'Authorization': authorization} if authorization else {}
     return HttpRequest(method, 'a.example', path, body, headers)
--- a/tests/scheduling/pooling/__init__.py
+++ b/tests/scheduling/pooling/__init__.py
@@ -1,1 +1,1 @@
-"""Test the pools of VMs."""
+"""Tests of the VM pools."""
--- a/tests/scheduling/pooling/test_demand.py
+++ b/tests/scheduling/pooling/test_demand.py
@@ -1,7 +1,8 @@
-"""Test what is learned of demand.
+"""Test the estimate of a service's demand.
 
-Pattern: jobs of a queue are of unlike size, a tenth of them many times as
-large as the others, and come several a second during a peak.
+Job sizes vary, with a tenth of the jobs many times as large as the others, and
+several jobs a second arrive during a peak.  A single large job must not look
+like a peak.
 """
 
 from __future__ import annotations
@@ -26,17 +27,17 @@
 
 
 class TestServiceDemand(testtools.TestCase):
-    """One service's demand."""
+    """Demand for one service."""
 
-    def test_steady_demand_is_known(self) -> None:
-        """As much as arrives, once it went on for some seconds."""
+    def test_steady_demand_is_estimated(self) -> None:
+        """The estimate nears the true rate after some seconds."""
         demand, now_s = _after_small_jobs(40)
         rate = demand.rate_at(now_s)
         expected = _SMALL_S / _GAP_S
         self.assertThat(abs(rate - expected) < expected / 4, matchers.Is(True))
 
-    def test_peak_is_known_within_a_second(self) -> None:
-        """From nothing to most of what arrives."""
+    def test_peak_is_recognized_within_a_second(self) -> None:
+        """The estimate rises from zero to most of the true rate."""
         demand, now_s = _after_small_jobs(5)
         expected = _SMALL_S / _GAP_S
         self.assertThat(
@@ -44,16 +45,16 @@
             matchers.Is(True),
         )
 
-    def test_one_large_job_is_no_peak(self) -> None:
-        """It raises what is expected by its share in the jobs so far."""
+    def test_one_large_job_is_not_a_peak(self) -> None:
+        """It raises the estimate by its share in the mean."""
         demand, now_s = _after_small_jobs(40)
         before = demand.rate_at(now_s)
         demand.note(_LARGE_S, now_s + _GAP_S)
         after = demand.rate_at(now_s + _GAP_S)
         self.assertThat(after < before * 5, matchers.Is(True))
 
-    def test_end_of_a_peak_is_known_soon(self) -> None:
-        """What is expected falls to a tenth within two seconds."""
+    def test_end_of_a_peak_is_recognized_soon(self) -> None:
+        """The estimate falls to a tenth within two seconds."""
         demand, now_s = _after_small_jobs(40)
         before = demand.rate_at(now_s)
         self.assertThat(
--- a/tests/scheduling/pooling/test_pool_places.py
+++ b/tests/scheduling/pooling/test_pool_places.py
@@ -1,8 +1,8 @@
-"""Test that a pool gets VMs that can take its work, not only enough of them.
+"""Test that a pool gets VMs that suit its work, not only enough of them.
 
-Pattern: jobs need a label that few VMs carry, have their data near one rack, or
-are gangs wider than their pool; the pool has as many workers as their work
-fills, and none that helps.  Timed jobs tell long ahead what they will need.
+Jobs need a label that few VMs have, have their data on one rack, or are gangs
+wider than their pool.  The pool has enough workers for the amount of work, but
+none that can run it.  Timed jobs announce their work long before it is due.
 """
 
 from __future__ import annotations
@@ -35,8 +35,8 @@
 
 _STANDBY = 'standby'
 _FAR_FACTOR = 3.0
-# After this a new leader gives VMs back.
-_LONG_S = 12.0
+# After this time a new leader returns idle VMs.
+_RETURNED_S = 12.0
 
 
 def _store(*jobs: JobSpec) -> JobStore:
@@ -46,21 +46,21 @@
     return store
 
 
-def _off(vm: str, *labels: str) -> VmRecord:
+def _standby_vm(vm: str, *labels: str) -> VmRecord:
     return VmRecord(vm, _STANDBY, VmPhase.UP, 'a', labels[-1], '', labels)
 
 
 class TestPlaces(testtools.TestCase):
-    """One busy pool, and VMs of two kinds on two racks that stand by."""
+    """One busy pool, and standby VMs of two kinds on two racks."""
 
     def _lead(self, *steps: StepSpec, pool: int = 2) -> FakeLead:
         settings = SchedulingSettings(far_factor=_FAR_FACTOR)
         lead = FakeLead(_store(job(*steps)), workers(pool), settings=settings)
         lead.scheduler.pools.note_vms(
             (
-                _off('off1', 'kind', 'rack'),
-                _off('off2', 'other', 'rack'),
-                _off('off3', 'kind', 'away'),
+                _standby_vm('off1', 'kind', 'rack'),
+                _standby_vm('off2', 'other', 'rack'),
+                _standby_vm('off3', 'kind', 'away'),
             ),
         )
         lead.round()
@@ -69,42 +69,42 @@
     def _moves(self, lead: FakeLead) -> list[Move]:
         return lead.scheduler.moves(lead.now_s)
 
-    def test_label_that_no_worker_carries_is_brought(self) -> None:
+    def test_vm_with_missing_label_is_moved_in(self) -> None:
         """Without it the job would never start."""
         lead = self._lead(step(1, label='other'))
         expected = [Move('off2', _STANDBY, SERVICE)]
         self.assertThat(self._moves(lead), matchers.Equals(expected))
 
-    def test_serving_task_gets_its_label(self) -> None:
-        """It finds room on other workers, but may not run there."""
+    def test_serving_task_gets_vm_with_its_label(self) -> None:
+        """Other workers have free capacity, but lack the label."""
         lead = self._lead(serving_step(1, label='other'))
         expected = [Move('off2', _STANDBY, SERVICE)]
         self.assertThat(self._moves(lead), matchers.Equals(expected))
 
     def test_worker_with_the_label_stays(self) -> None:
-        """The others go when there is more than the work needs."""
+        """Only workers without the label are moved out as a surplus."""
         pool = workers(3)
         pool[0].kind = 'other'
-        paper = job(serving_step(1, label='other', cpu_millicores=1))
-        lead = FakeLead(_store(paper), pool)
+        labeled = job(serving_step(1, label='other', cpu_millicores=1))
+        lead = FakeLead(_store(labeled), pool)
         moved: set[str] = set()
-        while lead.now_s < _LONG_S:
+        while lead.now_s < _RETURNED_S:
             lead.round()
             moved.update(move.vm for move in self._moves(lead))
         self.assertThat(moved, matchers.Equals({'vm1', 'vm2'}))
 
-    def test_rack_with_data_gives_a_vm(self) -> None:
-        """Away from it a job takes too long to be in time."""
+    def test_vm_on_data_rack_is_moved_in(self) -> None:
+        """Away from its data the job would be late."""
         lead = self._lead(step(1, data_rack='away'))
         expected = [Move('off3', _STANDBY, SERVICE)]
         self.assertThat(self._moves(lead), matchers.Equals(expected))
 
-    def test_rack_without_vms_to_spare_changes_nothing(self) -> None:
-        """Others come only for the work that they would do."""
+    def test_data_rack_without_spare_vms_causes_no_move(self) -> None:
+        """VMs on other racks move in only if the work requires them."""
         lead = self._lead(step(1, data_rack='nowhere'))
         self.assertThat(self._moves(lead), matchers.Equals([]))
 
-    def test_label_that_is_not_to_be_had_takes_no_room(self) -> None:
+    def test_unavailable_label_does_not_block_other_moves(self) -> None:
         """The pool gets the VMs that its other work needs."""
         rare = step(1, label='nowhere')
         lead = self._lead(rare, step(120, estimate_ms=1500))
@@ -113,15 +113,15 @@
             matchers.Equals({'off1', 'off2'}),
         )
 
-    def test_gang_wider_than_its_pool_gets_room(self) -> None:
-        """All its members have to fit at once."""
+    def test_gang_wider_than_its_pool_gets_a_vm(self) -> None:
+        """All members of the gang have to fit at once."""
         lead = self._lead(step(3, cpu_millicores=16_000, is_gang=True))
         expected = [Move('off1', _STANDBY, SERVICE)]
         self.assertThat(self._moves(lead), matchers.Equals(expected))
 
 
 class TestTimedJobs(testtools.TestCase):
-    """A job whose occurrences come one after the other."""
+    """A job with occurrences at regular intervals."""
 
     def _lead(self, first_due_ms: int) -> FakeLead:
         spec = JobSpec(
@@ -133,18 +133,20 @@
             occurrences=20,
         )
         lead = FakeLead(_store(spec), workers(2))
-        off = (_off(f'off{number}', 'kind', 'rack') for number in range(9))
+        off = (
+            _standby_vm(f'off{number}', 'kind', 'rack') for number in range(9)
+        )
         lead.scheduler.pools.note_vms(off)
         lead.round()
         return lead
 
     def test_later_occurrences_need_no_vm_yet(self) -> None:
-        """Only the first is due: forty tasks of two seconds on sixteen."""
+        """Only the first is due: 40 tasks of two seconds on two workers."""
         moves = self._lead(1).scheduler.moves(0.1)
         self.assertThat(moves, matchers.HasLength(0))
 
-    def test_due_time_begins_the_objective(self) -> None:
-        """It is not late because it was accepted long ago."""
+    def test_objective_starts_at_the_due_time(self) -> None:
+        """A job accepted long before it is due is not late."""
         lead = self._lead(50_000)
         lead.now_s = 50.1
         found = lead.scheduler.ready.in_order(50.1, 50_100, {SERVICE: 32.0})
--- a/tests/scheduling/pooling/test_pools.py
+++ b/tests/scheduling/pooling/test_pools.py
@@ -1,7 +1,7 @@
-"""Test that VMs follow the turns of demand.
+"""Test that VMs move between pools with the demand.
 
-Pattern: a queue asks for several times what its pool holds for some seconds,
-and for next to nothing in between, while the standby pool's VMs cost nothing.
+For some seconds a queue asks for several times what its pool can run, and for
+next to nothing in between.  VMs in the standby pool cost nothing.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
     return store
 
 
-def _off(*vms: str) -> list[VmRecord]:
+def _standby_vms(*vms: str) -> list[VmRecord]:
     return [VmRecord(vm, _STANDBY, VmPhase.UP, 'a', 'rack', '') for vm in vms]
 
 
@@ -52,13 +52,13 @@
     """Moves between one busy pool and the standby pool."""
 
     def test_peak_takes_standby_vms(self) -> None:
-        """More work than the pool finishes in time brings VMs at once."""
+        """VMs are moved at once if the pool can't finish its work in time."""
         peak = [
             job(step(20, estimate_ms=1500), job_id=f'{number:016x}')
             for number in range(1, 13)
         ]
         lead = FakeLead(_with_standby(store_with(*peak)), workers(4))
-        lead.scheduler.pools.note_vms(_off('off1', 'off2'))
+        lead.scheduler.pools.note_vms(_standby_vms('off1', 'off2'))
         lead.round()
         moves = lead.scheduler.moves(lead.now_s)
         self.assertThat(
@@ -72,10 +72,12 @@
         )
 
     def test_empty_pool_gets_vms(self) -> None:
-        """A pool that lost its last worker is not forgotten."""
+        """A pool that lost its last worker still gets VMs."""
         serving = job(serving_step(3))
         lead = FakeLead(_with_standby(store_with(serving)), workers(1))
-        lead.scheduler.pools.note_vms(_off('off1', 'off2', 'off3', 'off4'))
+        lead.scheduler.pools.note_vms(
+            _standby_vms('off1', 'off2', 'off3', 'off4')
+        )
         lead.round()
         lead.workers.clear()
         lead.now_s += 60
@@ -86,13 +88,13 @@
             matchers.Equals([SERVICE, SERVICE, SERVICE]),
         )
 
-    def test_serving_task_without_room_gets_a_vm(self) -> None:
-        """Its pool has as many workers as its spread asks for, all full."""
+    def test_unplaced_serving_task_gets_a_vm(self) -> None:
+        """The pool has enough workers for the spread, but all are full."""
         serving = job(
             serving_step(4, cpu_millicores=16_000, spread_limit=0),
         )
         lead = FakeLead(_with_standby(store_with(serving)), workers(4))
-        lead.scheduler.pools.note_vms(_off('off1', 'off2', 'off3'))
+        lead.scheduler.pools.note_vms(_standby_vms('off1', 'off2', 'off3'))
         lead.round()
         lead.workers.pop('w0')
         for _ in range(60):
@@ -109,18 +111,20 @@
             matchers.Equals([Move('off1', _STANDBY, SERVICE)]),
         )
 
-    def test_vm_behind_a_cut_is_taken_last(self) -> None:
-        """From its zone nobody is heard, and it would not be either."""
+    def test_vm_in_unreachable_zone_is_taken_last(self) -> None:
+        """No worker in its zone sends heartbeats, so it would not join."""
         peak = [
             job(step(20, estimate_ms=1500), job_id=f'{number:016x}')
             for number in range(1, 12)
         ]
         lead = FakeLead(_with_standby(store_with(*peak)), workers(4))
-        behind = (
+        unreachable = (
             VmRecord(f'behind{number}', _STANDBY, VmPhase.UP, 'b', 'rack', '')
             for number in range(3)
         )
-        lead.scheduler.pools.note_vms((*behind, *_off('off1', 'off2')))
+        lead.scheduler.pools.note_vms(
+            (*unreachable, *_standby_vms('off1', 'off2'))
+        )
         lead.round()
         moves = lead.scheduler.moves(lead.now_s)
         self.assertThat(
@@ -128,10 +132,10 @@
             matchers.Equals(['off1', 'off2', 'behind0']),
         )
 
-    def test_pool_gives_no_more_than_it_can_spare(self) -> None:
-        """Several VMs at once, too: it would ask for the rest of them back."""
+    def test_pool_gives_only_its_surplus(self) -> None:
+        """Giving more at once would only cause moves back."""
         whole_vm = step(8, cpu_millicores=16_000, estimate_ms=1000)
-        # It waits for a label, so that its pool needs three VMs and uses none.
+        # The job waits for a label, so its pool needs three VMs and uses none.
         waiting = msgspec.structs.replace(whole_vm, label='nowhere')
         store = store_with()
         services = (ServiceSpec(SERVICE), ServiceSpec(_OTHER))
@@ -148,8 +152,8 @@
             matchers.Equals([_OTHER, _OTHER, _OTHER]),
         )
 
-    def test_idle_vms_go_back(self) -> None:
-        """Only the workers with serving tasks stay, once demand is known."""
+    def test_idle_vms_return_to_standby(self) -> None:
+        """Once demand is known, only workers with serving tasks stay."""
         store = _with_standby(store_with(job(serving_step(2))))
         lead = FakeLead(store, workers(6))
         moves: list[Move] = []
@@ -162,7 +166,7 @@
         self.assertThat(moves, matchers.HasLength(4))
 
     def test_worker_with_serving_tasks_stays(self) -> None:
-        """A VM is never taken from under a serving task."""
+        """A VM that runs a serving task is never moved."""
         store = _with_standby(store_with(job(serving_step(4))))
         lead = FakeLead(store, workers(4))
         for _ in range(100):
@@ -172,8 +176,8 @@
                 matchers.HasLength(0),
             )
 
-    def test_returned_vm_can_be_had_again(self) -> None:
-        """A VM that went to the standby pool is known without a new list."""
+    def test_returned_vm_is_available_again(self) -> None:
+        """It can be moved again before the platform lists it anew."""
         store = _with_standby(store_with(job(serving_step(3))))
         lead = FakeLead(store, ())
         pools = lead.scheduler.pools
@@ -187,8 +191,8 @@
             matchers.Equals([Move('vm0', _STANDBY, SERVICE)]),
         )
 
-    def test_vm_of_a_wave_stays(self) -> None:
-        """A VM that a wave has in hand goes nowhere else."""
+    def test_vm_of_a_maintenance_wave_stays(self) -> None:
+        """A VM that a maintenance wave uses is not moved."""
         store = _with_standby(store_with())
         lead = FakeLead(store, workers(4))
         lead.round()
@@ -203,7 +207,7 @@
         self.assertThat(moved & taken, matchers.HasLength(0))
 
     def test_no_vm_moves_without_standby_pool(self) -> None:
-        """Where idle VMs cost the same anywhere, they stay."""
+        """Idle VMs stay where no other pool is cheaper."""
         lead = FakeLead(store_with(), workers(4))
         for _ in range(30):
             lead.round()
--- a/tests/scheduling/sharing/__init__.py
+++ b/tests/scheduling/sharing/__init__.py
@@ -1,1 +1,1 @@
-"""Test how workers are shared between workspaces."""
+"""Tests of the sharing of workers between workspaces."""
--- a/tests/scheduling/sharing/test_caps.py
+++ b/tests/scheduling/sharing/test_caps.py
@@ -1,7 +1,7 @@
-"""Test that workspaces stay within their caps, and that nobody else waits.
+"""Test that workspaces stay within their caps without delaying others.
 
-Answers a burst of one workspace whose cap holds a part of what it asks for, and
-caps that are lowered and raised while its jobs run.
+One workspace submits a burst of which its cap allows only a part, or its cap is
+lowered or raised while its jobs run.
 """
 
 from __future__ import annotations
@@ -45,8 +45,8 @@
     commit(store, SetManifest(changed))
 
 
-def _hold(lead: FakeLead, number: int) -> int:
-    """Return how many tasks of a numbered job run."""
+def _count_running(lead: FakeLead, number: int) -> int:
+    """Return how many tasks of a numbered job are running."""
     job_id = numbered_job(number).job_id
     return sum(
         run[0].job_id == job_id
@@ -55,26 +55,26 @@
     )
 
 
-def _play(lead: FakeLead, rounds: int = 3) -> None:
+def _run_rounds(lead: FakeLead, rounds: int = 3) -> None:
     for _ in range(rounds):
         lead.round()
 
 
-def _end_one(lead: FakeLead) -> None:
+def _finish_one(lead: FakeLead) -> None:
     worker = next(held for held in lead.workers.values() if held.running)
     worker.end(next(iter(worker.running)), RunEnd.DONE)
 
 
 class TestCapOverAllWorkers(testtools.TestCase):
-    """What a workspace has running at once."""
+    """The running tasks of a workspace on all workers."""
 
     def _lead(self, cap: Amounts, *steps: StepSpec) -> FakeLead:
         store = _store(cap)
         add(store, numbered_job(_MINE, *steps))
         return FakeLead(store, workers(4))
 
-    def test_starts_end_at_the_cap(self) -> None:
-        """By processors or by memory, whichever is full first."""
+    def test_starts_stop_at_the_cap(self) -> None:
+        """The processors or the memory may be exhausted first."""
         for cap, held in (
             (Amounts(3_000), 3),
             (Amounts(0, 2_048), 2),
@@ -82,103 +82,103 @@
             (NO_AMOUNTS, 8),
         ):
             lead = self._lead(cap, step(8))
-            _play(lead)
-            self.assertThat(_hold(lead, _MINE), matchers.Equals(held))
+            _run_rounds(lead)
+            self.assertThat(_count_running(lead, _MINE), matchers.Equals(held))
 
-    def test_room_under_it_is_used_at_once(self) -> None:
-        """The next task starts with the heartbeat that tells of an end."""
+    def test_freed_cap_is_used_at_once(self) -> None:
+        """The next task starts with the heartbeat that reports an end."""
         lead = self._lead(Amounts(2_000), step(4))
-        _play(lead)
-        _end_one(lead)
+        _run_rounds(lead)
+        _finish_one(lead)
         lead.round()
-        self.assertThat(_hold(lead, _MINE), matchers.Equals(2))
+        self.assertThat(_count_running(lead, _MINE), matchers.Equals(2))
 
-    def test_others_do_not_wait_behind_it(self) -> None:
-        """Jobs of others start whatever comes before them."""
+    def test_other_workspaces_do_not_wait(self) -> None:
+        """Jobs of other workspaces start, whatever is queued ahead."""
         lead = self._lead(Amounts(1_000), step(30))
         add(lead.store, numbered_job(_OTHERS, step(20)), OTHER_KEY)
-        _play(lead)
-        self.assertThat(_hold(lead, _MINE), matchers.Equals(1))
-        self.assertThat(_hold(lead, _OTHERS), matchers.Equals(20))
+        _run_rounds(lead)
+        self.assertThat(_count_running(lead, _MINE), matchers.Equals(1))
+        self.assertThat(_count_running(lead, _OTHERS), matchers.Equals(20))
 
-    def test_gang_starts_whole_or_not(self) -> None:
-        """One that is wider than what is left waits until all of it fits."""
+    def test_gang_starts_as_a_whole(self) -> None:
+        """A gang waits until the cap allows all of its members."""
         lead = self._lead(Amounts(4_000), step(2), step(3, is_gang=True))
-        _play(lead)
-        self.assertThat(_hold(lead, _MINE), matchers.Equals(2))
-        _end_one(lead)
-        _play(lead)
-        self.assertThat(_hold(lead, _MINE), matchers.Equals(4))
-
-    def test_task_that_the_cap_hardly_holds_starts(self) -> None:
-        """With less than half in use; nothing else would ever let it run."""
+        _run_rounds(lead)
+        self.assertThat(_count_running(lead, _MINE), matchers.Equals(2))
+        _finish_one(lead)
+        _run_rounds(lead)
+        self.assertThat(_count_running(lead, _MINE), matchers.Equals(4))
+
+    def test_task_larger_than_the_cap_starts(self) -> None:
+        """It starts with less than half in use, or it would never run."""
         lead = self._lead(Amounts(2_000), step(2, cpu_millicores=3_000))
-        _play(lead)
-        self.assertThat(_hold(lead, _MINE), matchers.Equals(1))
+        _run_rounds(lead)
+        self.assertThat(_count_running(lead, _MINE), matchers.Equals(1))
 
     def test_silent_worker_counts_until_its_lease_is_over(self) -> None:
-        """What runs there may go on, and starts elsewhere after that."""
+        """Its runs may go on until then, and are restarted afterwards."""
         lead = self._lead(Amounts(2_000), step(2))
-        _play(lead)
+        _run_rounds(lead)
         silent = [
             worker for worker in list(lead.workers.values()) if worker.running
         ]
         for worker in silent:
             lead.workers.pop(worker.name)
-        _play(lead, _LEASE_ROUNDS - 8)
-        self.assertThat(_hold(lead, _MINE), matchers.Equals(0))
-        _play(lead, 10)
-        self.assertThat(_hold(lead, _MINE), matchers.Equals(2))
+        _run_rounds(lead, _LEASE_ROUNDS - 8)
+        self.assertThat(_count_running(lead, _MINE), matchers.Equals(0))
+        _run_rounds(lead, 10)
+        self.assertThat(_count_running(lead, _MINE), matchers.Equals(2))
 
     def test_copy_beside_a_silent_worker_counts_twice(self) -> None:
-        """A copy starts only if the cap holds both."""
+        """A copy starts only if the cap allows both runs."""
         lead = self._lead(Amounts(3_000), step(3, has_copies=True))
         lead.workers = {'w0': lead.workers['w0']}
-        _play(lead)
+        _run_rounds(lead)
         lead.workers = {'w9': StandInWorker('w9', 'vm9')}
-        _play(lead, _LEASE_ROUNDS - 10)
-        self.assertThat(_hold(lead, _MINE), matchers.Equals(0))
-        _play(lead, 12)
-        self.assertThat(_hold(lead, _MINE), matchers.Equals(3))
+        _run_rounds(lead, _LEASE_ROUNDS - 10)
+        self.assertThat(_count_running(lead, _MINE), matchers.Equals(0))
+        _run_rounds(lead, 12)
+        self.assertThat(_count_running(lead, _MINE), matchers.Equals(3))
 
-    def test_next_leader_counts_what_it_has_not_heard(self) -> None:
-        """By what is recorded."""
+    def test_next_leader_counts_silent_workers(self) -> None:
+        """It counts their runs by the replicated state."""
         lead = self._lead(Amounts(2_000), step(4))
-        _play(lead)
+        _run_rounds(lead)
         later = FakeLead(lead.store, workers(8)[4:], lead.term + 1)
-        _play(later, 10)
-        self.assertThat(_hold(later, _MINE), matchers.Equals(0))
+        _run_rounds(later, 10)
+        self.assertThat(_count_running(later, _MINE), matchers.Equals(0))
 
 
 class TestChangedCaps(testtools.TestCase):
     """A cap that is lowered or raised while jobs run."""
 
-    def test_lowered_cap_ends_nothing(self) -> None:
-        """What runs goes on; the next starts once use is below."""
+    def test_lowered_cap_stops_no_run(self) -> None:
+        """Runs go on, and new ones start once usage is below the cap."""
         store = _store(Amounts(4_000))
         add(store, numbered_job(_MINE, step(6)))
         lead = FakeLead(store, workers(2))
-        _play(lead)
+        _run_rounds(lead)
         _change_cap(store, Amounts(2_000))
-        _play(lead)
-        self.assertThat(_hold(lead, _MINE), matchers.Equals(4))
+        _run_rounds(lead)
+        self.assertThat(_count_running(lead, _MINE), matchers.Equals(4))
         for left in (3, 2, 2):
-            _end_one(lead)
-            _play(lead)
-            self.assertThat(_hold(lead, _MINE), matchers.Equals(left))
+            _finish_one(lead)
+            _run_rounds(lead)
+            self.assertThat(_count_running(lead, _MINE), matchers.Equals(left))
 
     def test_raised_cap_is_used_at_once(self) -> None:
-        """By the next plan."""
+        """The next plan starts more tasks."""
         store = _store(Amounts(1_000))
         add(store, numbered_job(_MINE, step(6)))
         lead = FakeLead(store, workers(2))
-        _play(lead)
+        _run_rounds(lead)
         _change_cap(store, Amounts(5_000))
         lead.round()
-        self.assertThat(_hold(lead, _MINE), matchers.Equals(5))
+        self.assertThat(_count_running(lead, _MINE), matchers.Equals(5))
 
-    def test_start_that_is_not_ordered_yet_is_taken_back(self) -> None:
-        """It was recorded under the higher cap."""
+    def test_start_not_ordered_yet_is_withdrawn(self) -> None:
+        """The start was recorded under the higher cap."""
         store = _store(Amounts(4_000))
         add(store, numbered_job(_MINE, step(4)))
         lead = FakeLead(store, workers(1))
@@ -187,25 +187,25 @@
         self.assertThat(store.use.used(CLUB).millicores, matchers.Equals(4_000))
         _change_cap(store, Amounts(2_000))
         lead.round()
-        self.assertThat(_hold(lead, _MINE), matchers.LessThan(3))
-        _play(lead)
-        self.assertThat(_hold(lead, _MINE), matchers.Equals(2))
+        self.assertThat(_count_running(lead, _MINE), matchers.LessThan(3))
+        _run_rounds(lead)
+        self.assertThat(_count_running(lead, _MINE), matchers.Equals(2))
 
-    def test_jobs_of_a_workspace_that_is_gone_are_done(self) -> None:
-        """Within the cap that it had."""
+    def test_jobs_of_a_removed_workspace_run(self) -> None:
+        """They run within its last cap."""
         store = _store(Amounts(2_000))
         add(store, numbered_job(_MINE, step(4)))
         gone = workspaces_manifest(workspace(OTHER_CLUB), version=2)
         commit(store, SetManifest(gone))
         lead = FakeLead(store, workers(2))
-        _play(lead)
-        self.assertThat(_hold(lead, _MINE), matchers.Equals(2))
+        _run_rounds(lead)
+        self.assertThat(_count_running(lead, _MINE), matchers.Equals(2))
 
-    def test_snapshot_keeps_what_is_used(self) -> None:
-        """Who restores it counts the same."""
+    def test_snapshot_keeps_usage(self) -> None:
+        """A restored store has the same usage."""
         store = _store(Amounts(3_000))
         add(store, numbered_job(_MINE, step(4)))
-        _play(FakeLead(store, workers(2)))
+        _run_rounds(FakeLead(store, workers(2)))
         restored = JobStore()
         restored.restore(store.snapshot())
         self.assertThat(
@@ -215,10 +215,10 @@
 
 
 class TestWantsOfCappedWorkspaces(testtools.TestCase):
-    """What pools want for work that may not run."""
+    """Pool sizes for work that a cap keeps from running."""
 
-    def test_pool_wants_no_vm_for_it(self) -> None:
-        """Work beyond the cap brings no VM out of the standby pool."""
+    def test_pool_needs_no_vm_for_it(self) -> None:
+        """Work beyond the cap moves no VM out of the standby pool."""
         for cap, expected_vm_s in ((Amounts(4_000), 1.0), (NO_AMOUNTS, 25.0)):
             store = _store(cap)
             add(store, numbered_job(_MINE, step(100, estimate_ms=4_000)))
@@ -235,8 +235,8 @@
             )
             self.assertThat(round(vm_s, 1), matchers.Equals(expected_vm_s))
 
-    def test_its_jobs_put_no_others_back(self) -> None:
-        """The pool can do what the cap lets run, and the others' jobs."""
+    def test_its_jobs_defer_no_others(self) -> None:
+        """The pool fits the work within the cap and the jobs of others."""
         store = _store(Amounts(2_000))
         for number in range(10, 40):
             add(store, numbered_job(number, step(4, estimate_ms=2_000)))
@@ -251,22 +251,22 @@
         self.assertThat(
             put_back, matchers.Not(matchers.Contains(f'{_OTHERS:016x}'))
         )
-        self.assertThat(_hold(lead, _OTHERS), matchers.GreaterThan(13))
+        self.assertThat(_count_running(lead, _OTHERS), matchers.GreaterThan(13))
 
 
 class TestFitsCap(testtools.TestCase):
-    """The rule itself."""
+    """The function that checks a cap."""
 
     def test_zero_is_no_limit(self) -> None:
-        """Of each amount by itself."""
+        """This holds for each amount separately."""
         need = Amounts(10, 10, 1)
         self.assertTrue(fits_cap(Amounts(), Amounts(9, 9, 9), need, need))
         only_memory = Amounts(0, 15)
         self.assertFalse(fits_cap(only_memory, Amounts(9, 9), need, need))
         self.assertTrue(fits_cap(only_memory, Amounts(9, 5), need, need))
 
-    def test_gang_goes_beyond_by_one_task_at_most(self) -> None:
-        """Wider ones never fit."""
+    def test_gang_exceeds_the_cap_by_one_task_at_most(self) -> None:
+        """Wider gangs never fit."""
         task = Amounts(4)
         cap = Amounts(10)
         self.assertTrue(fits_cap(cap, NO_AMOUNTS, Amounts(12), task))
@@ -275,18 +275,18 @@
 
 
 class TestCredentialsInTheLog(testtools.TestCase):
-    """Jobs and manifests are put in order by the log alone."""
+    """Only their order in the log decides about jobs and manifests."""
 
-    def test_job_after_the_key_is_withdrawn(self) -> None:
-        """It is not accepted, though its call may have come before."""
+    def test_job_after_key_withdrawal_is_rejected(self) -> None:
+        """The job is not accepted, though its call may have come before."""
         store = _store(NO_AMOUNTS)
         withdrawn = workspaces_manifest(workspace(OTHER_CLUB), version=2)
         commit(store, SetManifest(withdrawn))
         add(store, numbered_job(_MINE))
         self.assertThat(store.jobs, matchers.HasLength(0))
 
-    def test_resend_to_a_public_queue(self) -> None:
-        """It needs no key, and is one job."""
+    def test_resent_job_to_a_public_queue_is_one_job(self) -> None:
+        """A public queue needs no key, and a resent job counts once."""
         store = JobStore()
         public = Manifest(1, (queue(is_public=True),), workspaces=())
         commit(store, SetManifest(public))
--- a/tests/scheduling/sharing/test_random_caps.py
+++ b/tests/scheduling/sharing/test_random_caps.py
@@ -1,4 +1,4 @@
-"""Play random days of workspaces whose caps change, and check what they start."""
+"""Simulate random days with changing caps, and check every start."""
 
 from __future__ import annotations
 
@@ -30,13 +30,13 @@
 _DAYS_UNTIL_FOUND = 25
 _SMALLEST = Amounts(6_000, 4_096)
 _LARGEST = Amounts(48_000, 40_960)
-# A manifest that was just replaced may be in force elsewhere for so long.
+# How long a replaced manifest may still be in force on other nodes.
 _APPLY_S = 2.5
 _OVERRUN = 1.1
 
 
 class _CappedDay(RandomDay):
-    """Two workspaces, one of them with a cap that changes."""
+    """Two workspaces, one of them with a changing cap."""
 
     def __init__(self, seed: int) -> None:
         super().__init__(seed)
@@ -54,11 +54,11 @@
             self.change_cap(self.rng.choice((_SMALLEST, _LARGEST)))
 
     def calm_down(self) -> None:
-        """Let the cap hold all that waits."""
+        """Raise the cap so that all waiting jobs can run."""
         self.change_cap(_LARGEST)
 
     def change_cap(self, cap: Amounts) -> None:
-        """Put a manifest in force."""
+        """Commit a manifest with a new cap."""
         self.caps.append((self.now_s, cap))
         changed = workspaces_manifest(
             workspace(CLUB, cap=cap),
@@ -68,7 +68,7 @@
         commit(self.store, SetManifest(changed))
 
     def submit(self) -> None:
-        """Hand a job in for one of both."""
+        """Submit a job for one of the two workspaces."""
         self.serial += 1
         rng = self.rng
         is_gang = self.happens(20)
@@ -83,7 +83,7 @@
         add(self.store, job(spec, job_id=number), api_key)
 
     def check_order(self, order: StartOrder) -> None:
-        """Check the cap too."""
+        """Check the cap in addition."""
         super().check_order(order)
         record = self.store.job_of(order.task)
         if record is None or record.workspace != CLUB:
@@ -106,7 +106,7 @@
             raise BrokenRuleError(f'{order.task}: {after} over {cap}')
 
     def check(self) -> None:
-        """Check that the book equals a count anew."""
+        """Check that the recorded usage equals a fresh count."""
         super().check()
         counted = _recount(self.store)
         if self.store.use.by_workspace != counted:
@@ -131,10 +131,10 @@
 
 
 class TestRandomCaps(testtools.TestCase):
-    """Days with faults and changing caps, then a calm while."""
+    """Days with faults and changing caps, then a calm period."""
 
-    def test_caps_hold_and_work_ends(self) -> None:
-        """No start is beyond a cap, and all that can be done is done."""
+    def test_caps_hold_and_jobs_finish(self) -> None:
+        """No start exceeds a cap, and every job that fits finishes."""
         for seed in range(_DAYS):
             day = _CappedDay(seed)
             play(day)
@@ -146,13 +146,13 @@
             ]
             self.assertThat(left, matchers.Equals([]), f'seed {seed}')
 
-    def test_cap_that_nobody_looks_at_is_found(self) -> None:
-        """Starts are planned and recorded whatever the cap is."""
+    def test_ignored_cap_is_detected(self) -> None:
+        """The days fail if starts are planned and recorded without caps."""
         patches = (
             mock.patch.object(JobStore, 'is_under_cap', lambda *_: True),
             mock.patch.object(
                 CapPlan,
-                'most',
+                'startable_count',
                 lambda plan, job, step, wanted: wanted,
             ),
         )
@@ -163,7 +163,7 @@
 
 
 def _is_too_wide(day: _CappedDay, job_id: str) -> bool:
-    """Whether a job is a gang that its workspace's cap never holds."""
+    """Whether a job is a gang that never fits its workspace's cap."""
     record = day.store.jobs[job_id]
     spec = record.spec.steps[0]
     whole = spec.amounts.times(spec.count)
--- a/tests/scheduling/test_choosing.py
+++ b/tests/scheduling/test_choosing.py
@@ -1,4 +1,4 @@
-"""Test that ranking a step's workers once chooses as asking anew each time."""
+"""Test that a ranking made once per step chooses the same workers."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 )
 from wigeonreach.jobs import AddJob, JobStore, StepSpec
 from wigeonreach.lab import commit
-from wigeonreach.scheduling._choosing import Ranking, best_room
+from wigeonreach.scheduling._choosing import WorkerRanking, best_room
 from wigeonreach.scheduling._incarnation import Incarnation, room_of
 from wigeonreach.scheduling._placing import Plan
 from wigeonreach.scheduling._progress import ProgressWatch
@@ -66,10 +66,10 @@
 
 
 class TestRanking(testtools.TestCase):
-    """Steps of unlike tasks on workers of unlike room."""
+    """Random steps on workers of different capacity."""
 
-    def test_choice_is_that_of_asking_all_workers_each_time(self) -> None:
-        """For each task the same worker, or none, as a look at all."""
+    def test_choice_equals_that_of_all_workers_per_task(self) -> None:
+        """Each task gets the worker that a full comparison chooses."""
         for seed in range(_DRAWS):
             rng = random.Random(seed)
             store = store_with(job(_step(rng)))
@@ -77,18 +77,18 @@
             state = rng.getstate()
             ranked = _rooms(rng, store)
             rng.setstate(state)
-            looked_at = _rooms(rng, store)
-            ranking = Ranking(ready, ranked)
+            compared = _rooms(rng, store)
+            ranking = WorkerRanking(ready, ranked)
             for index in ready.waiting:
-                found = _put(ranking.best(key(index)), ready, index)
-                looked = best_room(ready, key(index), looked_at)
-                expected = _put(looked, ready, index)
+                found = _place(ranking.best(key(index)), ready, index)
+                looked = best_room(ready, key(index), compared)
+                expected = _place(looked, ready, index)
                 place = f'seed {seed}, task {index}'
                 self.assertThat(found, matchers.Equals(expected), place)
 
 
-def _put(room: WorkerRoom | None, ready: ReadyStep, index: int) -> str:
-    """Put a task on a worker; return its name, or nothing without one."""
+def _place(room: WorkerRoom | None, ready: ReadyStep, index: int) -> str:
+    """Place a task on a worker; return its name, or '' without one."""
     if room is None:
         return ''
     room.add(key(index), ready.spec)
@@ -99,7 +99,7 @@
     """A worker with a serving task, and an empty one."""
 
     def _worker_of_batch(self, latency_target_ms: int) -> str:
-        """Return where a small batch task is put."""
+        """Return the worker on which a small batch task is placed."""
         serving = serving_step(1, latency_target_ms=latency_target_ms)
         store = store_with(job(serving), job(step(1), job_id=OTHER_JOB))
         busy = StandInWorker('w0', 'vm0')
@@ -111,12 +111,12 @@
             if any(task.job_id == OTHER_JOB for task, _ in worker.running)
         )
 
-    def test_timed_answers_are_left_alone(self) -> None:
-        """What runs beside them may make them late."""
+    def test_batch_avoids_tasks_with_latency_target(self) -> None:
+        """Batch work beside them may increase their latency."""
         self.assertThat(self._worker_of_batch(100), matchers.Equals('w1'))
 
-    def test_others_share_their_worker(self) -> None:
-        """It stays up for them anyway."""
+    def test_batch_shares_worker_with_other_serving_tasks(self) -> None:
+        """The worker stays up for them anyway."""
         self.assertThat(self._worker_of_batch(0), matchers.Equals('w0'))
 
 
@@ -124,12 +124,12 @@
     plan: Plan,
     ready: ReadyStep,
     rooms: list[WorkerRoom],
-) -> Ranking:
-    return Ranking(ready, rooms)
+) -> WorkerRanking:
+    return WorkerRanking(ready, rooms)
 
 
 def _full_pool_starts(seed: int) -> list[tuple[str, str]]:
-    """Return what starts where in a pool that many jobs ask for too much of."""
+    """Return the starts on a pool with more jobs than it can run."""
     rng = random.Random(seed)
     specs = [
         job(_step(rng), _step(rng), job_id=f'{number:016x}')
@@ -144,10 +144,10 @@
 
 
 class TestFullPools(testtools.TestCase):
-    """Many steps that find no room in one plan."""
+    """Many steps that fit on no worker in one plan."""
 
-    def test_serving_task_that_may_not_start_makes_no_room(self) -> None:
-        """Nothing is stopped for one that waits until its losses are explained."""
+    def test_blocked_serving_task_preempts_nothing(self) -> None:
+        """No run is stopped for a task whose losses are unexplained."""
         batch = job(step(16, estimate_ms=60_000))
         lead = FakeLead(store_with(batch), workers(1))
         lead.round()
@@ -160,8 +160,8 @@
         lead.round()
         self.assertThat(lead.scheduler.stopping, matchers.HasLength(1))
 
-    def test_step_that_is_not_tried_would_find_no_room(self) -> None:
-        """The same starts as with a look at all workers for each step."""
+    def test_skipped_step_would_not_fit(self) -> None:
+        """The starts are the same without skipping any step."""
         for seed in range(_DRAWS):
             found = _full_pool_starts(seed)
             with mock.patch.object(Plan, '_ranking', _ranking_of_all):
--- a/tests/scheduling/test_copies.py
+++ b/tests/scheduling/test_copies.py
@@ -1,7 +1,7 @@
-"""Test that work which may run twice does not wait for a silent worker.
+"""Test that tasks which may run twice do not wait for a silent worker.
 
-Pattern: workers are cut off and run on; until their leases are over, a second run
-of what they have is allowed only where copies are.
+Workers are cut off and go on running.  Until their leases are over, a second
+run is allowed only for tasks that may have copies.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
     """A task on one of two workers, which is cut off."""
 
     def _lead(self, has_copies: bool) -> tuple[FakeLead, StandInWorker]:
-        """Cut the worker off that has the task; return it."""
+        """Cut off the worker that runs the task, and return it."""
         lead = FakeLead(
             store_with(job(step(has_copies=has_copies))), workers(2)
         )
@@ -41,18 +41,18 @@
         return next(iter(lead.workers.values()))
 
     def test_copy_starts_at_once(self) -> None:
-        """A second and a half after the last heartbeat, not after four."""
+        """It starts 1.5 s after the last heartbeat, not after 4 s."""
         lead, _ = self._lead(has_copies=True)
         runs = list(self._other(lead).running)
         self.assertThat(runs, matchers.Equals([(key(), 2)]))
 
-    def test_other_work_waits_for_the_lease(self) -> None:
-        """Its run may go on behind the cut."""
+    def test_task_without_copies_waits_for_the_lease(self) -> None:
+        """Its run may go on while the worker is cut off."""
         lead, _ = self._lead(has_copies=False)
         self.assertThat(self._other(lead).running, matchers.HasLength(0))
 
-    def test_leader_that_stood_still_copies_nothing(self) -> None:
-        """Its workers were not silent; it did not listen."""
+    def test_paused_leader_starts_no_copies(self) -> None:
+        """The leader was paused; its workers were not silent."""
         lead = FakeLead(store_with(job(step(has_copies=True))), workers(2))
         lead.round()
         lead.now_s += 3
@@ -60,7 +60,7 @@
         phases = {task.phase for _, task in lead.store.jobs[JOB].assigned()}
         self.assertThat(phases, matchers.Equals({TaskPhase.ASSIGNED}))
 
-    def test_first_end_counts(self) -> None:
+    def test_first_finished_run_counts(self) -> None:
         """The other run is stopped."""
         lead, cut = self._lead(has_copies=True)
         cut.end((key(), 1), RunEnd.DONE)
--- a/tests/scheduling/test_gangs.py
+++ b/tests/scheduling/test_gangs.py
@@ -1,4 +1,4 @@
-"""Test gangs, racks and the room beside slowed down work."""
+"""Test the placement of gangs, by rack, and on paced workers."""
 
 from __future__ import annotations
 
@@ -30,10 +30,10 @@
 
 
 class TestGangs(testtools.TestCase):
-    """Members that work only together."""
+    """Members that can only work together."""
 
-    def test_others_stop_when_one_is_lost(self) -> None:
-        """They don't wait for a member that does not come, but start anew."""
+    def test_gang_restarts_when_a_member_is_lost(self) -> None:
+        """The others are stopped, and all members start again together."""
         gang = step(2, cpu_millicores=16_000, is_gang=True)
         lead = FakeLead(store_with(job(gang)), workers(3))
         lead.round()
@@ -47,8 +47,8 @@
         ]
         self.assertThat(runs, matchers.Equals([2, 2]))
 
-    def test_members_share_the_number_of_their_run(self) -> None:
-        """All are started under one number, above all earlier ones."""
+    def test_members_share_a_run_number(self) -> None:
+        """All members start with one number, above all earlier ones."""
         gang = step(3, is_gang=True)
         lead = FakeLead(store_with(job(gang)), workers(2))
         lead.round()
@@ -59,17 +59,17 @@
 
 
 class TestRacks(testtools.TestCase):
-    """Steps whose tasks are slower on more than one rack."""
+    """Steps that are slower when spread over several racks."""
 
-    def test_rack_that_holds_all_is_taken(self) -> None:
-        """Also where a tighter fit would spread the tasks."""
+    def test_rack_that_fits_the_step_is_chosen(self) -> None:
+        """It is chosen even if a tighter fit would spread the tasks."""
         local = step(4, cpu_millicores=_HALF, is_rack_local=True)
         lead = FakeLead(store_with(job(local)), _on_racks('a', 'b', 'b', 'c'))
         lead.round()
         self.assertThat(_racks_used(lead), matchers.Equals({'b'}))
 
-    def test_step_that_no_rack_holds_is_spread(self) -> None:
-        """Slower is better than not at all."""
+    def test_step_that_fits_no_rack_is_spread(self) -> None:
+        """Running slower is better than not running."""
         local = step(4, cpu_millicores=_HALF, is_rack_local=True)
         lead = FakeLead(store_with(job(local)), _on_racks('a', 'b', 'c'))
         lead.round()
@@ -77,10 +77,10 @@
 
 
 class TestPacedWorkers(testtools.TestCase):
-    """Workers whose batch work is slowed down for serving tasks."""
+    """Workers whose batch work is throttled for serving tasks."""
 
-    def test_new_work_goes_elsewhere(self) -> None:
-        """It would be slowed down too, and disturb."""
+    def test_new_task_avoids_paced_worker(self) -> None:
+        """The task would be throttled too, and disturb serving tasks."""
         lead = FakeLead(store_with(job(step(2))), workers(2))
         for worker in lead.workers.values():
             lead.hear(worker)
