--- a/src/wigeonreach/scheduling/_backlog.py
+++ b/src/wigeonreach/scheduling/_backlog.py
@@ -108,12 +108,12 @@
     vm_room: Room,
 ) -> dict[str, Backlog]:
     """Return the backlog of each service."""
-    found: dict[str, Backlog] = {}
+    backlogs: dict[str, Backlog] = {}
     for service, steps in work.items():
-        backlog = found.setdefault(service, Backlog())
+        backlog = backlogs.setdefault(service, Backlog())
         for step in steps:
             backlog.add(step, vm_room)
-    return found
+    return backlogs
 
 
 def _vms_for_gang(spec: StepSpec, vm_room: Room) -> int:
--- a/src/wigeonreach/scheduling/_choosing.py
+++ b/src/wigeonreach/scheduling/_choosing.py
@@ -67,7 +67,7 @@
     def best(
         self,
         key: TaskKey,
-        apart: Apart = Apart.FROM_NOTHING,
+        isolation: Apart = Apart.FROM_NOTHING,
     ) -> WorkerRoom | None:
         """Return the best worker for one task, or None if none fits.
 
@@ -75,19 +75,21 @@
         ----------
         key
             The task.
-        apart
+        isolation
             Which other tasks it must not share a worker with.
         """
         task = self._step.job.task(key)
-        has_run = task is not None and bool(task.run)
-        if has_run or self._step.spec.is_service:
+        was_started = task is not None and bool(task.run)
+        if was_started or self._step.spec.is_service:
             # The cost depends on where the task ran before or where other
             # tasks of its step are, so the shared ranking does not apply.
             crashes = task.crash_count if task else 0
             rooms = self._rooms
-            if apart is not Apart.FROM_NOTHING:
+            if isolation is not Apart.FROM_NOTHING:
                 rooms = [
-                    room for room in rooms if room.isolates(key.job_id, apart)
+                    room
+                    for room in rooms
+                    if room.isolates(key.job_id, isolation)
                 ]
             return best_room(self._step, key, rooms, crashes)
         return self._cheapest(key)
--- a/src/wigeonreach/scheduling/_locality.py
+++ b/src/wigeonreach/scheduling/_locality.py
@@ -29,7 +29,7 @@
     far_factor
         Slowdown factor of a task away from its data, or of a gang on several
         racks.
-    coming
+    incoming_racks
         Racks of VMs that are moving to a service.
     now_s
         Clock in seconds.
@@ -81,8 +81,8 @@
         for rack in sorted(racks):
             if fits_all_tasks(step, racks[rack]):
                 return racks[rack]
-        may_hold = any(_could_ever_fit(step, racks[rack]) for rack in racks)
-        return () if may_hold and self._worth_waiting(step, 0) else rooms
+        may_fit = any(_could_ever_fit(step, racks[rack]) for rack in racks)
+        return () if may_fit and self._worth_waiting(step, 0) else rooms
 
     def add_queued(self, step: ReadyStep, tasks: int) -> None:
         """Count tasks without a worker as queued ahead of later steps."""
--- a/src/wigeonreach/scheduling/_pacing.py
+++ b/src/wigeonreach/scheduling/_pacing.py
@@ -82,11 +82,11 @@
 def _serving_specs(
     incarnation: Incarnation, store: JobStore
 ) -> Mapping[str, StepSpec]:
-    found: dict[str, StepSpec] = {}
+    specs: dict[str, StepSpec] = {}
     for row in incarnation.running:
         spec = store.spec_of(row.task)
         if spec is None:
             continue
         if spec.is_service and spec.latency_target_ms:
-            found[row.task.job_id] = spec
-    return found
+            specs[row.task.job_id] = spec
+    return specs
--- a/src/wigeonreach/scheduling/_placing.py
+++ b/src/wigeonreach/scheduling/_placing.py
@@ -10,7 +10,7 @@
 from wigeonreach.scheduling._advice import TicketCache
 from wigeonreach.scheduling._choosing import WorkerRanking, best_room
 from wigeonreach.scheduling._locality import DataLocality, fits_all_tasks
-from wigeonreach.scheduling._preempting import Preemption, make_room
+from wigeonreach.scheduling._preempting import Preemption, plan_preemption
 from wigeonreach.scheduling._ready import ReadyStep
 from wigeonreach.scheduling._room_left import WorkerRoom
 from wigeonreach.scheduling._suspects import Apart, Suspects
@@ -31,7 +31,7 @@
         The workers that accept tasks, by service.
     advice
         Tickets for the queues that require them.
-    near
+    locality
         Decides which steps wait for capacity near their data.
     suspects
         The tasks that may crash their workers.
@@ -46,14 +46,14 @@
         store: JobStore,
         rooms: dict[str, list[WorkerRoom]],
         advice: TicketCache,
-        near: DataLocality,
+        locality: DataLocality,
         suspects: Suspects,
         caps: CapPlan,
         now_s: float,
     ) -> None:
         """Start with an empty plan."""
         self._caps = caps
-        self._locality = near
+        self._locality = locality
         self._suspects = suspects
         self._store = store
         self._rooms = rooms
@@ -90,7 +90,7 @@
         vm_room
             Capacity of one VM.
         """
-        return make_room(
+        return plan_preemption(
             self.unplaced,
             self._rooms,
             self._store,
@@ -100,13 +100,13 @@
 
     def _mark_data_racks(self, steps: Iterable[ReadyStep]) -> None:
         """Mark the workers on racks that hold the data of some step."""
-        wanted = {
+        data_racks = {
             (self._service_of(step), step.spec.data_rack) for step in steps
         }
         for service, rooms in self._rooms.items():
             for room in rooms:
                 rack = room.incarnation.report.rack
-                room.has_local_demand = (service, rack) in wanted
+                room.has_local_demand = (service, rack) in data_racks
 
     def _reserve_trial_workers(self, steps: Iterable[ReadyStep]) -> None:
         """Reserve workers for the tasks that have to run alone.
@@ -165,9 +165,9 @@
         is_placed = True
         for placed, index in enumerate(waiting):
             key = _task_key(step, index)
-            apart = self._isolation_of(step, key)
-            room = ranking.best(key, apart)
-            if room is None and apart is Apart.FROM_NOTHING:
+            isolation = self._isolation_of(step, key)
+            room = ranking.best(key, isolation)
+            if room is None and isolation is Apart.FROM_NOTHING:
                 self._locality.add_queued(step, len(waiting) - placed)
                 return False
             if room is None or _awaits_other_worker(step, key, room, rooms):
@@ -197,14 +197,14 @@
         no look at the workers, because a smaller task did not fit before.
         """
         need = step.spec.room
-        refused = self._unplaceable.setdefault(self._service_of(step), [])
-        if any(need.holds(smaller) for smaller in refused):
+        unplaceable = self._unplaceable.setdefault(self._service_of(step), [])
+        if any(need.holds(request) for request in unplaceable):
             return None
         ranking = WorkerRanking(step, rooms)
         if ranking.has_rooms:
             return ranking
         if rooms is self._pool_of(step):
-            refused.append(need)
+            unplaceable.append(need)
         return None
 
     def _service_of(self, step: ReadyStep) -> str:
@@ -231,8 +231,8 @@
             self._locality.add_queued(step, len(step.waiting))
             return False
         run = max(_next_run(step, index) for index in step.waiting)
-        for member, taken in chosen:
-            self._start(step, member, taken, run)
+        for key, room in chosen:
+            self._start(step, key, room, run)
         return True
 
     def _start(
--- a/src/wigeonreach/scheduling/_preempting.py
+++ b/src/wigeonreach/scheduling/_preempting.py
@@ -40,7 +40,7 @@
         by_label[label] = by_label.get(label, 0) + vms
 
 
-def make_room(
+def plan_preemption(
     unplaced: Iterable[ReadyStep],
     rooms: Mapping[str, list[WorkerRoom]],
     store: JobStore,
@@ -63,20 +63,20 @@
         Capacity of one VM.
     """
     preemption = Preemption()
-    free = {service: list(found) for service, found in rooms.items()}
+    candidates = {service: list(found) for service, found in rooms.items()}
     for step in unplaced:
         if not step.spec.is_service:
             continue
         service = store.service_of(step.job)
         stopped = stopping | preemption.stops
-        found = victims_for(step, free.get(service, ()), store, stopped)
+        found = victims_for(step, candidates.get(service, ()), store, stopped)
         if found is None:
-            filled = vm_share(step.spec.room, vm_room) * len(step.waiting)
-            preemption.add_homeless(service, step.spec.label, filled)
+            vms = vm_share(step.spec.room, vm_room) * len(step.waiting)
+            preemption.add_homeless(service, step.spec.label, vms)
             continue
         room, runs = found
         preemption.stops.update(runs)
-        free[service].remove(room)
+        candidates[service].remove(room)
     return preemption
 
 
@@ -142,10 +142,10 @@
     """Return the batch runs of a worker, those with least progress first."""
     progress = {row.task: row.percent for row in room.incarnation.running}
     held = store.held_by(room.incarnation.report.worker)
-    found: list[tuple[int, Run, Room]] = []
+    runs: list[tuple[int, Run, Room]] = []
     for key, run in held.items():
         spec = store.spec_of(key)
         if spec is not None and not spec.is_service:
-            found.append((progress.get(key, 0), (key, run), spec.room))
-    found.sort(key=lambda item: (item[0], item[1]))
-    return [(run, freed) for _, run, freed in found]
+            runs.append((progress.get(key, 0), (key, run), spec.room))
+    runs.sort(key=lambda item: (item[0], item[1]))
+    return [(run, freed) for _, run, freed in runs]
--- a/src/wigeonreach/scheduling/_progress.py
+++ b/src/wigeonreach/scheduling/_progress.py
@@ -53,9 +53,9 @@
 
     def __init__(self) -> None:
         """Start without any runs."""
-        self._seen: dict[Run, _RunProgress] = {}
+        self._progress_by_run: dict[Run, _RunProgress] = {}
         # When a run last made progress; a gang is kept under its first member.
-        self._moved_s: dict[Run, float] = {}
+        self._last_progress_s: dict[Run, float] = {}
         self._speeds = WorkerSpeeds()
 
     def note(
@@ -89,7 +89,7 @@
                 samples.extend(self._sample(row, spec, now_s))
             progress_key = _progress_key(row, spec)
             progress = self._update(row, progress_key, is_paced, now_s)
-            unchanged_s = now_s - self._moved_s[progress_key]
+            unchanged_s = now_s - self._last_progress_s[progress_key]
             if _is_stalled(spec, progress, unchanged_s, now_s):
                 stalled.append((row.task, row.run))
         self._speeds.note(incarnation.report.worker, samples, now_s)
@@ -97,7 +97,7 @@
 
     def worked_s(self, run: Run, until_s: float) -> float:
         """Return how long a run has been reported in this term, 0 if never."""
-        progress = self._seen.get(run)
+        progress = self._progress_by_run.get(run)
         return until_s - progress.began_s if progress else 0.0
 
     def slow(self, workers: Iterable[str], now_s: float) -> dict[str, float]:
@@ -137,7 +137,7 @@
         now_s: float,
     ) -> Iterator[ProgressSample]:
         """Yield the progress of a run since its previous heartbeat, if any."""
-        progress = self._seen.get((row.task, row.run))
+        progress = self._progress_by_run.get((row.task, row.run))
         if progress is None:
             return
         done = (row.percent - progress.percent) / _COMPLETE_PERCENT
@@ -153,14 +153,14 @@
         now_s: float,
     ) -> _RunProgress:
         run = (row.task, row.run)
-        progress = self._seen.setdefault(
+        progress = self._progress_by_run.setdefault(
             run, _RunProgress(row.percent, now_s, now_s)
         )
         progress.heard_s = now_s
-        self._moved_s.setdefault(progress_key, now_s)
+        self._last_progress_s.setdefault(progress_key, now_s)
         if row.percent != progress.percent or is_paced:
             progress.percent = row.percent
-            self._moved_s[progress_key] = now_s
+            self._last_progress_s[progress_key] = now_s
         return progress
 
     def forget(self, worker: str, runs: Mapping[TaskKey, int]) -> None:
@@ -171,8 +171,8 @@
 
     def forget_run(self, run: Run) -> None:
         """Drop a run that ended."""
-        self._seen.pop(run, None)
-        self._moved_s.pop(run, None)
+        self._progress_by_run.pop(run, None)
+        self._last_progress_s.pop(run, None)
 
 
 def _reflects_worker_speed(spec: StepSpec, incarnation: Incarnation) -> bool:
--- a/src/wigeonreach/scheduling/_ready.py
+++ b/src/wigeonreach/scheduling/_ready.py
@@ -59,6 +59,8 @@
 
     Attributes
     ----------
+    job, occurrence, step
+        The job, the number of its occurrence and the number of the step.
     waiting
         Indices of the tasks that have not started.
     due_ms
@@ -108,7 +110,7 @@
         self.notes: list[Note] = []
 
     def work(self, now_s: float) -> dict[str, list[StepWork]]:
-        """Return the unfinished work of each service, except for later work."""
+        """Return each service's unfinished work, without later occurrences."""
         return {
             service: [
                 step
@@ -278,19 +280,19 @@
                 for occurrence in startable
                 if occurrence.occurrence_id not in deferred
             ]
-            overloaded = deferred_occurrences(competing, available, now_s)
+            pool_deferred = deferred_occurrences(competing, available, now_s)
             for pending in startable:
                 if (
                     pending.occurrence_id
-                    in overloaded - self._reported_deferrals
+                    in pool_deferred - self._reported_deferrals
                 ):
                     reason = _deferral_reason(
                         pending, available, len(startable), now_s
                     )
                     note = Note(LogEvent.JOB_PUT_BACK, pending.job_id, reason)
                     self.notes.append(note)
-            self._reported_deferrals |= overloaded
-            deferred |= overloaded
+            self._reported_deferrals |= pool_deferred
+            deferred |= pool_deferred
         return deferred
 
     def _deferred_by_caps(
@@ -305,9 +307,11 @@
                 if pending.workspace in caps:
                     capped.setdefault(pending.workspace, []).append(pending)
         return {
-            name
+            occurrence_id
             for workspace, jobs in capped.items()
-            for name in deferred_occurrences(jobs, caps[workspace], now_s)
+            for occurrence_id in deferred_occurrences(
+                jobs, caps[workspace], now_s
+            )
         }
 
 
@@ -356,9 +360,9 @@
     begin_s: float,
 ) -> PendingOccurrence:
     steps = tuple(
-        StepWork(step, left, task_estimate_s(step), job.workspace)
+        StepWork(step, tasks, task_estimate_s(step), job.workspace)
         for number, step in enumerate(job.spec.steps)
-        if (left := unfinished_tasks(job, occurrence, number))
+        if (tasks := unfinished_tasks(job, occurrence, number))
     )
     return PendingOccurrence(
         job_id=job.spec.job_id,
--- a/src/wigeonreach/scheduling/_room_left.py
+++ b/src/wigeonreach/scheduling/_room_left.py
@@ -94,15 +94,15 @@
 
     def runs_other_jobs(self, job_id: str) -> bool:
         """Whether tasks of other jobs are on the worker."""
-        return any(on_it[0] != job_id for on_it in self.steps)
+        return any(step_key[0] != job_id for step_key in self.steps)
 
-    def isolates(self, job_id: str, apart: Apart) -> bool:
+    def isolates(self, job_id: str, isolation: Apart) -> bool:
         """Whether the worker gives a job's task the isolation it needs."""
-        if apart is Apart.FROM_SUSPECTS:
+        if isolation is Apart.FROM_SUSPECTS:
             return self.suspects <= {job_id}
-        if apart is Apart.FROM_ALL:
-            is_kept = self.is_closed and self.trial_job == job_id
-            return is_kept and not self.runs_other_jobs(job_id)
+        if isolation is Apart.FROM_ALL:
+            is_reserved = self.is_closed and self.trial_job == job_id
+            return is_reserved and not self.runs_other_jobs(job_id)
         return True
 
     def can_host_trial(self, spec: StepSpec) -> bool:
@@ -122,15 +122,15 @@
         fitting = self.left.count(spec.room)
         if not spec.spread_limit:
             return fitting
-        same = self.steps[key.job_id, key.occurrence, key.step]
-        return min(fitting, spec.spread_limit - same)
+        placed = self.steps[key.job_id, key.occurrence, key.step]
+        return min(fitting, spec.spread_limit - placed)
 
     def meets_constraints(self, key: TaskKey, spec: StepSpec) -> bool:
         """Whether the worker suits a task apart from its free capacity."""
         if spec.label and spec.label not in self._labels:
             return False
-        same = self.steps[key.job_id, key.occurrence, key.step]
-        return not spec.spread_limit or same < spec.spread_limit
+        placed = self.steps[key.job_id, key.occurrence, key.step]
+        return not spec.spread_limit or placed < spec.spread_limit
 
 
 def room_left(
--- a/src/wigeonreach/scheduling/_speeds.py
+++ b/src/wigeonreach/scheduling/_speeds.py
@@ -25,7 +25,7 @@
 # workers needed for a comparison.
 _MIN_SAMPLES = 3
 # Older speeds say nothing about a worker's current speed.
-_FRESH_S = 3.0
+_MAX_SPEED_AGE_S = 3.0
 
 
 @dataclasses.dataclass(slots=True)
@@ -68,10 +68,10 @@
     ) -> None:
         """Record the progress of a worker's runs since its last heartbeat."""
         measured = list(samples)
-        elapsed_s = sum(stretch.elapsed_s for stretch in measured)
+        elapsed_s = sum(sample.elapsed_s for sample in measured)
         if not elapsed_s:
             return
-        ratio = sum(stretch.done_s for stretch in measured) / elapsed_s
+        ratio = sum(sample.done_s for sample in measured) / elapsed_s
         speed = self._speeds.setdefault(worker, _Speed(ratio, 0, now_s))
         speed.ratio += _NEWEST_WEIGHT * (ratio - speed.ratio)
         speed.samples += len(measured)
@@ -94,7 +94,7 @@
             for worker in workers
             if (speed := self._speeds.get(worker)) is not None
             and speed.samples >= _MIN_SAMPLES
-            and now_s - speed.heard_s <= _FRESH_S
+            and now_s - speed.heard_s <= _MAX_SPEED_AGE_S
         }
         if len(ratios) < _MIN_SAMPLES:
             return {}
--- a/src/wigeonreach/scheduling/pooling/_pools.py
+++ b/src/wigeonreach/scheduling/pooling/_pools.py
@@ -32,8 +32,8 @@
 from wigeonreach.scheduling.pooling._pool_vms import Move, PoolVms
 from wigeonreach.scheduling.pooling._pool_needs import (
     PoolSize,
-    ServingNeed,
     RequiredVms,
+    ServingNeed,
     required_vms,
 )
 
@@ -163,7 +163,7 @@
             Number of VMs needed by serving tasks that fit on no worker, by
             service and label.
         taken
-            VMs that maintenance waves use.
+            VMs that must not move, such as those in a maintenance wave.
         now_s
             Clock in seconds.
         """
@@ -392,4 +392,4 @@
 
 def _move_reason(pool: PoolState, have: int, label: str) -> str:
     with_label = f' with {label}' if label else ''
-    return f'{pool.name} wants {pool.required.total}{with_label}, has {have}'
+    return f'{pool.name} needs {pool.required.total}{with_label}, has {have}'
--- a/src/wigeonreach/scheduling/sharing/_cap_plan.py
+++ b/src/wigeonreach/scheduling/sharing/_cap_plan.py
@@ -16,7 +16,7 @@
     ----------
     store
         The replicated state with the caps; it is only read.
-    strays
+    untracked
         Runs that the replicated state no longer counts.
 
     Attributes
@@ -25,10 +25,10 @@
         Workspace of each job that has to wait for its cap, by job id.
     """
 
-    def __init__(self, store: JobStore, strays: UntrackedRuns) -> None:
+    def __init__(self, store: JobStore, untracked: UntrackedRuns) -> None:
         """Start without planned runs."""
         self._store = store
-        self._untracked = strays
+        self._untracked = untracked
         self._planned = UseBook()
         self.capped_jobs: dict[str, str] = {}
 
--- a/src/wigeonreach/scheduling/sharing/_cap_watch.py
+++ b/src/wigeonreach/scheduling/sharing/_cap_watch.py
@@ -65,5 +65,5 @@
 
     def _note(self, job_id: str, workspace: str) -> Note:
         used = self._store.use.used(workspace)
-        reason = f'{workspace} has its cap: {used}'
+        reason = f'workspace {workspace} is at its cap, in use: {used}'
         return Note(LogEvent.JOB_CAPPED, job_id, reason)
--- a/src/wigeonreach/scheduling/sharing/_capped_work.py
+++ b/src/wigeonreach/scheduling/sharing/_capped_work.py
@@ -61,8 +61,8 @@
             if step.workspace in caps:
                 totals[step.workspace] = _add(totals[step.workspace], step)
     ratios = {
-        name: _allowed_ratio(caps[name], amounts, horizon_s)
-        for name, amounts in totals.items()
+        name: _allowed_ratio(caps[name], total, horizon_s)
+        for name, total in totals.items()
     }
     return {name: ratio for name, ratio in ratios.items() if ratio < 1}
 
--- a/src/wigeonreach/scheduling/sharing/_untracked_runs.py
+++ b/src/wigeonreach/scheduling/sharing/_untracked_runs.py
@@ -12,7 +12,7 @@
 from wigeonreach.workspaces import Amounts, UseBook
 
 # A workspace, and the amounts that a run takes of its cap.
-_Taken = tuple[str, Amounts]
+_Usage = tuple[str, Amounts]
 
 
 class UntrackedRuns:
@@ -27,7 +27,7 @@
     def __init__(self, store: JobStore) -> None:
         """Start without untracked runs."""
         self._store = store
-        self._by_worker: dict[str, list[_Taken]] = {}
+        self._by_worker: dict[str, list[_Usage]] = {}
         self._book = UseBook()
 
     def used(self, workspace: str) -> Amounts:
@@ -49,11 +49,11 @@
         spec = self._store.spec_of(key)
         if job is None or spec is None or not job.workspace:
             return
-        taken = (job.workspace, spec.amounts)
-        self._by_worker.setdefault(worker, []).append(taken)
-        self._book.add(*taken)
+        usage = (job.workspace, spec.amounts)
+        self._by_worker.setdefault(worker, []).append(usage)
+        self._book.add(*usage)
 
     def forget(self, worker: str) -> None:
         """Drop the untracked runs of a worker."""
-        for taken in self._by_worker.pop(worker, ()):
-            self._book.remove(*taken)
+        for usage in self._by_worker.pop(worker, ()):
+            self._book.remove(*usage)
--- a/tests/builders_jobs.py
+++ b/tests/builders_jobs.py
@@ -137,11 +137,11 @@
         for worker in self.workers.values():
             self.hear(worker)
         self.plan()
-        for told in self.workers.values():
-            name = told.last_report.worker
+        for receiver in self.workers.values():
+            name = receiver.last_report.worker
             incarnation = self.scheduler.workers.incarnations.get(name)
             if incarnation is not None:
-                told.obey(
+                receiver.obey(
                     self.scheduler.answers.orders(incarnation, self.now_s)
                 )
 
--- a/tests/builders_workspaces.py
+++ b/tests/builders_workspaces.py
@@ -50,16 +50,16 @@
     version: int = 1,
 ) -> Manifest:
     """Return a manifest with a workspace queue and a public queue."""
-    plain = manifest(
+    base = manifest(
         queue(),
         queue(PUBLIC_QUEUE, is_public=True),
         version=version,
     )
     return Manifest(
         version,
-        plain.queues,
-        plain.services,
-        document=plain.document,
+        base.queues,
+        base.services,
+        document=base.document,
         workspaces=workspaces,
     )
 
@@ -89,11 +89,11 @@
 
 def tenants_text(*tenants: Body, version: int = 3, **more: object) -> bytes:
     """Return a manifest with workspaces, as the platform sends it."""
-    told = manifest_text()
-    told['version'] = version
-    told['tenants'] = list(tenants)
-    told.update(more)
-    return json.dumps(told).encode()
+    document = manifest_text()
+    document['version'] = version
+    document['tenants'] = list(tenants)
+    document.update(more)
+    return json.dumps(document).encode()
 
 
 def tenant_text(name: str, *api_keys: str, **more: object) -> Body:
--- a/tests/scheduling/pooling/test_pool_places.py
+++ b/tests/scheduling/pooling/test_pool_labels.py
@@ -50,7 +50,7 @@
     return VmRecord(vm, _STANDBY, VmPhase.UP, 'a', labels[-1], '', labels)
 
 
-class TestPlaces(testtools.TestCase):
+class TestPoolLabels(testtools.TestCase):
     """One busy pool, and standby VMs of two kinds on two racks."""
 
     def _lead(self, *steps: StepSpec, pool: int = 2) -> FakeLead:
--- a/tests/scheduling/test_choosing.py
+++ b/tests/scheduling/test_choosing.py
@@ -81,10 +81,10 @@
             ranking = WorkerRanking(ready, ranked)
             for index in ready.waiting:
                 found = _place(ranking.best(key(index)), ready, index)
-                looked = best_room(ready, key(index), compared)
-                expected = _place(looked, ready, index)
-                place = f'seed {seed}, task {index}'
-                self.assertThat(found, matchers.Equals(expected), place)
+                chosen = best_room(ready, key(index), compared)
+                expected = _place(chosen, ready, index)
+                message = f'seed {seed}, task {index}'
+                self.assertThat(found, matchers.Equals(expected), message)
 
 
 def _place(room: WorkerRoom | None, ready: ReadyStep, index: int) -> str:
--- a/tests/scheduling/test_slow_workers.py
+++ b/tests/scheduling/test_slow_workers.py
@@ -95,9 +95,9 @@
         for worker in self.lead.workers.values():
             worker.advance(1)
         for _ in range(4):
-            for told in self.lead.workers.values():
-                _advance(told, 12, 'a1')
-                _advance(told, 1, 'b2')
+            for running_worker in self.lead.workers.values():
+                _advance(running_worker, 12, 'a1')
+                _advance(running_worker, 1, 'b2')
             self.lead.round(_BEAT_S)
         self.assertThat(self._slow(), matchers.Equals(set()))
 
--- a/tests/scheduling/test_triage.py
+++ b/tests/scheduling/test_triage.py
@@ -144,5 +144,7 @@
             ):
                 by_laxity = _Peak(seed).play()
             in_time = _Peak(seed).play()
-            told = f'seed {seed}: {in_time} after {by_laxity}'
-            self.assertThat(in_time > 1.2 * by_laxity, matchers.Is(True), told)
+            message = f'seed {seed}: {in_time} after {by_laxity}'
+            self.assertThat(
+                in_time > 1.2 * by_laxity, matchers.Is(True), message
+            )
