--- a/src/wigeonreach/scheduling/_open_rooms.py
+++ b/src/wigeonreach/scheduling/_open_rooms.py
@@ -46,7 +46,7 @@
         crashes: CrashWatch,
         now_s: float,
     ) -> None:
-        """Start with an empty cache."""
+        """Cache nothing yet; exclude VMs whose orders may be unanswered."""
         # An order that an earlier leader was about to give may still be
         # executed, and then ends everything that runs on its VM.
         self._vms_with_open_orders = frozenset(
--- a/src/wigeonreach/scheduling/_progress.py
+++ b/src/wigeonreach/scheduling/_progress.py
@@ -41,7 +41,17 @@
 
 @dataclasses.dataclass(slots=True)
 class _RunProgress:
-    """Progress of a run as of its worker's last heartbeat."""
+    """Progress of a run as of its worker's last heartbeat.
+
+    Attributes
+    ----------
+    percent
+        Progress that was reported.
+    began_s
+        When the run was first reported in this term.
+    heard_s
+        When it was last reported.
+    """
 
     percent: int
     began_s: float
--- a/src/wigeonreach/scheduling/_ready.py
+++ b/src/wigeonreach/scheduling/_ready.py
@@ -19,10 +19,10 @@
 from wigeonreach.scheduling._notes import Note
 from wigeonreach.scheduling._objectives import (
     critical_path_s,
-    task_estimate_s,
     objective_of,
-    unfinished_tasks,
     remaining_work_s,
+    task_estimate_s,
+    unfinished_tasks,
 )
 from wigeonreach.scheduling._triage import (
     OccurrenceId,
--- a/src/wigeonreach/scheduling/_second_runs.py
+++ b/src/wigeonreach/scheduling/_second_runs.py
@@ -43,7 +43,7 @@
     store: JobStore,
     now_s: float,
 ) -> Iterator[Laggards]:
-    """Yield, for each slow worker, the runs that should move."""
+    """Yield each slow worker with the runs to be restarted elsewhere."""
     by_service: dict[str, list[str]] = collections.defaultdict(list)
     for worker, known in incarnations.items():
         by_service[known.report.service].append(worker)
--- a/src/wigeonreach/scheduling/_speeds.py
+++ b/src/wigeonreach/scheduling/_speeds.py
@@ -30,7 +30,17 @@
 
 @dataclasses.dataclass(slots=True)
 class _Speed:
-    """Moving average of the estimated work that runs do per second."""
+    """Speed of one worker.
+
+    Attributes
+    ----------
+    ratio
+        Moving average of the estimated work, in seconds, done per second.
+    samples
+        Number of progress samples so far.
+    heard_s
+        When the last sample was taken.
+    """
 
     ratio: float
     samples: int
--- a/src/wigeonreach/scheduling/pooling/_pools.py
+++ b/src/wigeonreach/scheduling/pooling/_pools.py
@@ -22,20 +22,20 @@
     backlog_by_service,
 )
 from wigeonreach.scheduling._incarnation import Incarnation
-from wigeonreach.scheduling._moving_out import is_empty
 from wigeonreach.scheduling._locality import DataLocality
+from wigeonreach.scheduling._moving_out import is_empty
 from wigeonreach.scheduling._ready import AcceptedWork
 from wigeonreach.scheduling._settings import SchedulingSettings
 from wigeonreach.scheduling._vms import VmRecord
 from wigeonreach.scheduling._workers import Workers
 from wigeonreach.scheduling.pooling._demand import ServiceDemand
-from wigeonreach.scheduling.pooling._pool_vms import Move, PoolVms
 from wigeonreach.scheduling.pooling._pool_needs import (
     PoolSize,
     RequiredVms,
     ServingNeed,
     required_vms,
 )
+from wigeonreach.scheduling.pooling._pool_vms import Move, PoolVms
 
 # Work that arrives within this time is counted in, as a VM ordered now starts
 # to work only after it.
@@ -50,7 +50,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _PendingMove:
-    """A move that waits for its VM to be empty."""
+    """A move that waits for its VM to be empty.
+
+    Attributes
+    ----------
+    to_pool
+        Name of the new pool.
+    since_s
+        When the move was planned.
+    reason
+        For operators.
+    """
 
     to_pool: str
     since_s: float
--- a/src/wigeonreach/scheduling/sharing/_weight_limiter.py
+++ b/src/wigeonreach/scheduling/sharing/_weight_limiter.py
@@ -19,7 +19,15 @@
 
 @dataclasses.dataclass(slots=True)
 class _TokenBucket:
-    """Token bucket of one workspace, as of its newest job."""
+    """Token bucket of one workspace, as of its newest job.
+
+    Attributes
+    ----------
+    jobs
+        Number of jobs that may still be admitted.
+    at_ms
+        When its newest job was accepted.
+    """
 
     jobs: float
     at_ms: float
--- a/tests/scheduling/test_locality.py
+++ b/tests/scheduling/test_locality.py
@@ -21,10 +21,11 @@
 from wigeonreach.jobs import AddJob, JobSpec, RunEnd
 from wigeonreach.lab import commit
 from wigeonreach.scheduling import SchedulingSettings
-from wigeonreach.scheduling.pooling import Move
 from wigeonreach.scheduling._vms import VmPhase, VmRecord
+from wigeonreach.scheduling.pooling import Move
 from wigeonreach.standins import StandInWorker
 
+# Millicores of a whole worker.
 _WHOLE = 16_000
 
 
