--- a/src/wigeonreach/scheduling/_preempting.py
+++ b/src/wigeonreach/scheduling/_preempting.py
@@ -34,7 +34,7 @@
         default_factory=dict,
     )
 
-    def add_homeless(self, service: str, label: str, vms: float) -> None:
+    def add_unmet(self, service: str, label: str, vms: float) -> None:
         """Add tasks that need a number of VMs."""
         by_label = self.homeless.setdefault(service, {})
         by_label[label] = by_label.get(label, 0) + vms
@@ -72,7 +72,7 @@
         found = victims_for(step, candidates.get(service, ()), store, stopped)
         if found is None:
             vms = vm_share(step.spec.room, vm_room) * len(step.waiting)
-            preemption.add_homeless(service, step.spec.label, vms)
+            preemption.add_unmet(service, step.spec.label, vms)
             continue
         room, runs = found
         preemption.stops.update(runs)
--- a/src/wigeonreach/scheduling/_progress.py
+++ b/src/wigeonreach/scheduling/_progress.py
@@ -84,7 +84,7 @@
         store
             The replicated state.
         pace_percent
-            Share of full speed at which batch work was told to run, or None.
+            Pace of batch work on the worker, or None if it was never set.
         now_s
             Clock in seconds.
         """
--- a/src/wigeonreach/scheduling/_room_left.py
+++ b/src/wigeonreach/scheduling/_room_left.py
@@ -101,8 +101,8 @@
         if isolation is Apart.FROM_SUSPECTS:
             return self.suspects <= {job_id}
         if isolation is Apart.FROM_ALL:
-            is_reserved = self.is_closed and self.trial_job == job_id
-            return is_reserved and not self.runs_other_jobs(job_id)
+            is_own_trial = self.is_closed and self.trial_job == job_id
+            return is_own_trial and not self.runs_other_jobs(job_id)
         return True
 
     def can_host_trial(self, spec: StepSpec) -> bool:
--- a/src/wigeonreach/scheduling/pooling/_pool_needs.py
+++ b/src/wigeonreach/scheduling/pooling/_pool_needs.py
@@ -26,13 +26,13 @@
     ----------
     workers
         Number of workers over which they are to be spread.
-    homeless
+    unmet_vms
         Number of VMs needed by serving tasks that fit on no current worker, by
         the label that they need.
     """
 
     workers: Mapping[str, int]
-    homeless: Mapping[str, Mapping[str, float]]
+    unmet_vms: Mapping[str, Mapping[str, float]]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -85,7 +85,7 @@
         Whether tasks take longer away from their data.  If so, each rack with
         data gets a VM: a job that waits for one, or runs remotely, is late.
     """
-    homeless = serving.homeless.get(service, _NONE)
+    unmet_vms = serving.unmet_vms.get(service, _NONE)
     by_label = {
         label: _vms_for_work(vm_s) for label, vm_s in backlog.by_label.items()
     }
@@ -96,17 +96,13 @@
             )
     for gang_label, vms in backlog.gang_vms.items():
         by_label[gang_label] = max(by_label.get(gang_label, 0), vms)
-    for homeless_label, vms_filled in homeless.items():
-        vms_for_label = has.by_label.get(homeless_label, 0) + _round_up(
-            vms_filled
-        )
-        by_label[homeless_label] = max(
-            by_label.get(homeless_label, 0), vms_for_label
-        )
+    for unmet_label, unmet in unmet_vms.items():
+        vms_for_label = has.by_label.get(unmet_label, 0) + _round_up(unmet)
+        by_label[unmet_label] = max(by_label.get(unmet_label, 0), vms_for_label)
     total = max(
         _vms_for_work(backlog.vm_s + arriving_vm_s),
         serving.workers.get(service, 0),
-        has.total + _round_up(sum(homeless.values())) if homeless else 0,
+        has.total + _round_up(sum(unmet_vms.values())) if unmet_vms else 0,
         by_label.pop(ANY_LABEL, 0),
     )
     return RequiredVms(total, by_label)
--- a/src/wigeonreach/scheduling/pooling/_pools.py
+++ b/src/wigeonreach/scheduling/pooling/_pools.py
@@ -157,8 +157,8 @@
         self,
         work: Mapping[str, Iterable[StepWork]],
         serving: Mapping[str, int],
-        homeless: Mapping[str, Mapping[str, float]],
-        taken: set[str],
+        unmet_vms: Mapping[str, Mapping[str, float]],
+        excluded_vms: set[str],
         now_s: float,
     ) -> list[Move]:
         """Return the moves to be ordered now.
@@ -169,19 +169,19 @@
             Remaining work of the accepted jobs of each service.
         serving
             Number of workers for the serving tasks of each service.
-        homeless
+        unmet_vms
             Number of VMs needed by serving tasks that fit on no worker, by
             service and label.
-        taken
+        excluded_vms
             VMs that must not move, such as those in a maintenance wave.
         now_s
             Clock in seconds.
         """
         self.vms.refresh(now_s)
         backlog = backlog_by_service(work, self.vms.room)
-        need = ServingNeed(serving, homeless)
-        pools = self._pools(backlog, need, taken, now_s)
-        self._fill_pools(pools, taken, now_s)
+        need = ServingNeed(serving, unmet_vms)
+        pools = self._pools(backlog, need, excluded_vms, now_s)
+        self._fill_pools(pools, excluded_vms, now_s)
         self._release_idle(pools, now_s)
         return self._moves_due(now_s)
 
@@ -189,10 +189,10 @@
         self,
         backlog: Mapping[str, Backlog],
         serving: ServingNeed,
-        taken: set[str],
+        excluded_vms: set[str],
         now_s: float,
     ) -> dict[str, PoolState]:
-        incarnations = self._available_workers(taken, now_s)
+        incarnations = self._available_workers(excluded_vms, now_s)
         pools: dict[str, PoolState] = {}
         for service in self._store.manifest.services:
             if service.is_standby:
@@ -214,14 +214,14 @@
 
     def _available_workers(
         self,
-        taken: set[str],
+        excluded_vms: set[str],
         now_s: float,
     ) -> dict[str, list[Incarnation]]:
         """Return the workers of each service that accept tasks."""
         by_service: dict[str, list[Incarnation]] = collections.defaultdict(list)
         for incarnation in self._workers.incarnations.values():
             vm = incarnation.report.vm
-            is_free = vm not in taken and vm not in self._pending_moves
+            is_free = vm not in excluded_vms and vm not in self._pending_moves
             if is_free and incarnation.may_take(now_s):
                 by_service[incarnation.report.service].append(incarnation)
         return by_service
@@ -229,7 +229,7 @@
     def _fill_pools(
         self,
         pools: Mapping[str, PoolState],
-        taken: set[str],
+        excluded_vms: set[str],
         now_s: float,
     ) -> None:
         """Reserve VMs for the pools, largest shortage first."""
@@ -240,20 +240,20 @@
         for pool in by_shortage:
             # VMs with labels go first, as they also count toward the total.
             for label in pool.required.by_label:
-                self._reserve_vms(pool, pools, taken, label, now_s)
-            self._reserve_vms(pool, pools, taken, ANY_LABEL, now_s)
+                self._reserve_vms(pool, pools, excluded_vms, label, now_s)
+            self._reserve_vms(pool, pools, excluded_vms, ANY_LABEL, now_s)
 
     def _reserve_vms(
         self,
         pool: PoolState,
         pools: Mapping[str, PoolState],
-        taken: set[str],
+        excluded_vms: set[str],
         label: str,
         now_s: float,
     ) -> None:
         """Reserve VMs with a label that a pool lacks, if any can be spared."""
         for _ in range(self._missing(pool, label)):
-            vm = self._donor(pool, pools, taken, label)
+            vm = self._donor(pool, pools, excluded_vms, label)
             if vm is None:
                 return
             reason = _move_reason(pool, self._vm_count(pool), label)
@@ -284,7 +284,7 @@
         self,
         receiver: PoolState,
         pools: Mapping[str, PoolState],
-        taken: set[str],
+        excluded_vms: set[str],
         label: str,
     ) -> str | None:
         """Return a VM with a label that can be spared for a pool, or None."""
@@ -295,7 +295,7 @@
             and self._vm_count(pool) > pool.required.total
             for vm in self._idle_vms(pool)
         ]
-        standby = self.vms.standby - taken - self._pending_moves.keys()
+        standby = self.vms.standby - excluded_vms - self._pending_moves.keys()
         return self._best_match(spare, receiver, label) or self._best_match(
             standby, receiver, label
         )
--- a/tests/scheduling/pooling/test_pool_labels.py
+++ b/tests/scheduling/pooling/test_pool_labels.py
@@ -141,7 +141,7 @@
         return lead
 
     def test_later_occurrences_need_no_vm_yet(self) -> None:
-        """Only the first is due: 40 tasks of 2 s on 16 processors per worker."""
+        """Only the first is due: 40 tasks of 2 s on 2 x 16 processors."""
         moves = self._lead(1).scheduler.moves(0.1)
         self.assertThat(moves, matchers.HasLength(0))
 
