--- a/src/wigeonreach/scheduling/_advice.py
+++ b/src/wigeonreach/scheduling/_advice.py
@@ -1,9 +1,9 @@
-"""Keep the tickets without which some queues' steps may not start.
+"""Cache the placement tickets that some queues require for a start.
 
-Only an outside advisor knows which workers may run such a step.  It answers
-one call after the other and takes time for each worker that is named, so it is
-asked about few workers at once, ahead of need, and its tickets are kept for
-all tasks of a step while they are valid.
+An external advisor decides which workers may run a step of such a queue.  It
+handles one call at a time and takes time for each worker in the call, so each
+call names only a few workers, is made ahead of need, and its tickets are reused
+for all tasks of the step while they are valid.
 """
 
 from __future__ import annotations
@@ -15,34 +15,38 @@
 from wigeonreach.scheduling._ready import ReadyStep
 from wigeonreach.scheduling._room_left import WorkerRoom
 
-# Workers named in one call, and how many more than there are tasks, as the
-# advisor may allow only some.
-_MOST_WORKERS = 30
-_SPARE_RATIO = 2
-# A ticket has to be valid when its order arrives, some heartbeats later.
-_LEAST_LEFT_S = 0.6
-# After a call that failed, or allowed nobody.
-_RETRY_S = 0.5
+# Limits the workers named in one call.  Each call names more workers than there
+# are tasks, as the advisor may refuse some.
+_MAX_WORKERS_PER_CALL = 30
+_WORKERS_PER_TASK = 2
+# A ticket must still be valid when the order arrives, a few heartbeats later.
+_MIN_VALIDITY_S = 0.6
+# Delay after a call that failed or allowed no worker.
+_RETRY_DELAY_S = 0.5
 
-Step = tuple[str, int, int]
+StepKey = tuple[str, int, int]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Question:
-    """Which of these workers may run a step."""
+    """A request to the advisor: which of these workers may run a step."""
 
-    step: Step
+    step: StepKey
     workers: tuple[str, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Advice:
-    """The advisor's answer: tickets by worker, for so long.
+    """The advisor's answer.
 
     Attributes
     ----------
+    tickets
+        The ticket of each allowed worker.
+    valid_s
+        How long the tickets are valid.
     unreadable
-        How many others there were that can't be read.
+        Number of entries in the answer that could not be decoded.
     """
 
     tickets: Mapping[str, str]
@@ -51,31 +55,41 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Known:
-    """What is known for one step: tickets and until when, by worker."""
+class _StepTickets:
+    """Tickets of one step and the state of its requests.
+
+    Attributes
+    ----------
+    tickets
+        Ticket and the time at which it expires, by worker.
+    next_request_s
+        Earliest time of the next request.
+    is_requested
+        Whether a request is in flight.
+    """
 
     tickets: dict[str, tuple[str, float]] = dataclasses.field(
         default_factory=dict,
     )
-    ask_after_s: float = 0.0
-    is_asked: bool = False
+    next_request_s: float = 0.0
+    is_requested: bool = False
 
 
 class TicketCache:
-    """Tickets of this term."""
+    """Tickets received in this term, and the requests for more."""
 
     def __init__(self) -> None:
-        """Have no ticket."""
-        self._known: dict[Step, _Known] = {}
-        self._wanted: dict[Step, Question] = {}
+        """Start with an empty cache."""
+        self._by_step: dict[StepKey, _StepTickets] = {}
+        self._pending: dict[StepKey, Question] = {}
 
     def ticket(self, key: TaskKey, worker: str, now_s: float) -> str:
-        """Return the ticket for a task on a worker, or nothing."""
-        known = self._known.get(_step_of(key))
+        """Return the valid ticket for a task on a worker, or an empty text."""
+        known = self._by_step.get(_step_of(key))
         if known is None:
             return ''
         ticket, until_s = known.tickets.get(worker, ('', 0))
-        return ticket if until_s - now_s > _LEAST_LEFT_S else ''
+        return ticket if until_s - now_s > _MIN_VALIDITY_S else ''
 
     def allowed(
         self,
@@ -83,7 +97,7 @@
         rooms: Iterable[WorkerRoom],
         now_s: float,
     ) -> list[WorkerRoom]:
-        """Return the workers with a ticket; take note if more are wanted."""
+        """Return the workers with a ticket; request more if needed."""
         key = TaskKey(step.job.spec.job_id, step.occurrence, step.step, 0)
         all_rooms = list(rooms)
         found = [
@@ -92,15 +106,15 @@
             if self.ticket(key, room.incarnation.report.worker, now_s)
         ]
         if len(found) < len(step.waiting):
-            self._want(step, all_rooms, now_s)
+            self._request_tickets(step, all_rooms, now_s)
         return found
 
     def questions(self) -> list[Question]:
-        """Return what is to be asked, and take it as being asked."""
-        asked = list(self._wanted.values())
-        self._wanted.clear()
+        """Return the pending requests and mark them as in flight."""
+        asked = list(self._pending.values())
+        self._pending.clear()
         for question in asked:
-            self._known[question.step].is_asked = True
+            self._by_step[question.step].is_requested = True
         return asked
 
     def note(
@@ -109,10 +123,10 @@
         advice: Advice | None,
         now_s: float,
     ) -> None:
-        """Take an answer, or that there was none."""
-        known = self._known.setdefault(question.step, _Known())
-        known.is_asked = False
-        known.ask_after_s = now_s + _RETRY_S
+        """Store the answer to a request; None if the call failed."""
+        known = self._by_step.setdefault(question.step, _StepTickets())
+        known.is_requested = False
+        known.next_request_s = now_s + _RETRY_DELAY_S
         if advice is None:
             return
         until_s = now_s + advice.valid_s
@@ -120,31 +134,33 @@
             known.tickets[worker] = (ticket, until_s)
 
     def forget(self, job_id: str) -> None:
-        """Drop the tickets of a job that ended."""
-        ended = [step for step in self._known if step[0] == job_id]
+        """Drop the tickets and requests of a job that ended."""
+        ended = [step for step in self._by_step if step[0] == job_id]
         for step in ended:
-            self._known.pop(step)
-            self._wanted.pop(step, None)
+            self._by_step.pop(step)
+            self._pending.pop(step, None)
 
-    def _want(
+    def _request_tickets(
         self,
         step: ReadyStep,
         rooms: list[WorkerRoom],
         now_s: float,
     ) -> None:
         name = (step.job.spec.job_id, step.occurrence, step.step)
-        known = self._known.setdefault(name, _Known())
-        if known.is_asked or now_s < known.ask_after_s:
+        known = self._by_step.setdefault(name, _StepTickets())
+        if known.is_requested or now_s < known.next_request_s:
             return
-        count = min(len(step.waiting) * _SPARE_RATIO, _MOST_WORKERS)
+        count = min(
+            len(step.waiting) * _WORKERS_PER_TASK, _MAX_WORKERS_PER_CALL
+        )
         fitting = [room for room in rooms if room.left.holds(step.spec.room)]
         fitting.sort(key=lambda room: -room.left.processors)
         workers = tuple(
             room.incarnation.report.worker for room in fitting[:count]
         )
         if workers:
-            self._wanted[name] = Question(name, workers)
+            self._pending[name] = Question(name, workers)
 
 
-def _step_of(key: TaskKey) -> Step:
+def _step_of(key: TaskKey) -> StepKey:
     return key.job_id, key.occurrence, key.step
--- a/src/wigeonreach/scheduling/_answers.py
+++ b/src/wigeonreach/scheduling/_answers.py
@@ -1,4 +1,4 @@
-"""Answer the heartbeats of workers: what each is told, and when."""
+"""Answer the heartbeats of workers with their orders."""
 
 from __future__ import annotations
 
@@ -8,33 +8,33 @@
 from wigeonreach.observe import LogEvent
 from wigeonreach.scheduling._advice import TicketCache
 from wigeonreach.scheduling._incarnation import Incarnation
-from wigeonreach.scheduling._moving_out import MovingOut
+from wigeonreach.scheduling._moving_out import DisruptionBudget
 from wigeonreach.scheduling._notes import Note
 from wigeonreach.scheduling._orders import (
-    Tickets,
-    answer_due,
+    ValidTickets,
+    answer_if_due,
     orders_for,
-    why_stopped,
+    stop_reason,
 )
 from wigeonreach.scheduling._pacing import Pacing
 from wigeonreach.wire._worker_messages import WorkerOrders
 
 
-class Answers:
-    """What the leader of one term tells workers.
+class HeartbeatAnswers:
+    """Builds the leader's answers to heartbeats, and decides when to send them.
 
     Parameters
     ----------
     store
         The replicated state; it is only read.
     term
-        Of this leader.
-    pacing, advice, moving_out
-        What is known of paces, of tickets, and of serving tasks that leave.
+        Term of this leader.
+    pacing, advice, disruption_budget
+        Pace limits, tickets, and which serving runs may be stopped.
     stopping
-        Runs that are being stopped; what is taken back is removed from it.
+        Runs that are being stopped; retracted stops are removed from it.
     notes
-        Where it is told which serving runs are stopped, and why.
+        Receives a note for each serving run that is stopped, with the reason.
     """
 
     def __init__(
@@ -43,29 +43,29 @@
         term: int,
         pacing: Pacing,
         advice: TicketCache,
-        moving_out: MovingOut,
+        disruption_budget: DisruptionBudget,
         stopping: set[Run],
         notes: list[Note],
     ) -> None:
-        """Tell nobody anything yet."""
+        """Start with no answer sent."""
         self._notes = notes
-        # Serving runs whose stop was logged.
-        self._noted: set[Run] = set()
+        # Serving runs whose stop is already in the log.
+        self._logged_stops: set[Run] = set()
         self._store = store
         self._term = term
         self._pacing = pacing
         self._advice = advice
-        self._moving_out = moving_out
+        self._disruption_budget = disruption_budget
         self._stopping = stopping
 
     def orders(self, incarnation: Incarnation, now_s: float) -> WorkerOrders:
-        """Return what a worker is to be told."""
+        """Return the orders for a worker, and record the starts among them."""
         orders = orders_for(
             incarnation,
             self._store,
             self._pacing,
-            self._to_stop(incarnation, now_s),
-            Tickets(self._advice, now_s),
+            self._stops_to_send(incarnation, now_s),
+            ValidTickets(self._advice, now_s),
             self._term,
         )
         incarnation.told = frozenset(
@@ -73,15 +73,17 @@
         )
         return orders
 
-    def _to_stop(
+    def _stops_to_send(
         self,
         incarnation: Incarnation,
         now_s: float,
     ) -> Collection[Run]:
-        """Return what may be stopped by an answer that is sent now."""
+        """Return the runs that an answer sent now may stop."""
         if not self._stopping:
             return ()
-        review = self._moving_out.review(incarnation, self._stopping, now_s)
+        review = self._disruption_budget.review(
+            incarnation, self._stopping, now_s
+        )
         self._stopping.difference_update(review.retracted)
         if not review.withheld:
             return self._stopping
@@ -98,43 +100,47 @@
         Parameters
         ----------
         incarnation
-            Whose newest heartbeat it is.
-        came_s, now_s
-            When it came, and the clock now.
+            The worker that sent it; it is the worker's newest heartbeat.
+        came_s
+            When the heartbeat arrived.
+        now_s
+            Clock in seconds.
         """
-        due = answer_due(
+        due = answer_if_due(
             self.orders(incarnation, now_s),
             self._has_batch(incarnation),
             incarnation.needs_lease,
             now_s - came_s,
         )
         if due is not None:
-            incarnation.leased_s = came_s
-            self._note_stops(incarnation, due)
+            incarnation.lease_renewed_s = came_s
+            self._log_stops(incarnation, due)
         return due
 
     def forget_run(self, run: Run) -> None:
-        """Drop a run that is over."""
-        self._noted.discard(run)
+        """Drop a run that ended."""
+        self._logged_stops.discard(run)
 
-    def _note_stops(
+    def _log_stops(
         self,
         incarnation: Incarnation,
         orders: WorkerOrders,
     ) -> None:
-        """Tell of the serving runs that a worker is told to stop, once each."""
+        """Add a note for each serving run to be stopped, once per run."""
         for stop in orders.stops:
             run = (stop.task, stop.run)
-            if run in self._noted or not self._store.is_serving(stop.task):
+            if run in self._logged_stops or not self._store.is_serving(
+                stop.task
+            ):
                 continue
-            self._noted.add(run)
-            why = why_stopped(run, incarnation, self._store)
+            self._logged_stops.add(run)
+            why = stop_reason(run, incarnation, self._store)
             reason = f'{run_name(run)}: {why}'
             worker = incarnation.report.worker
             self._notes.append(Note(LogEvent.RUNS_STOPPED, worker, reason))
 
     def _has_batch(self, incarnation: Incarnation) -> bool:
-        """Whether work that ends by itself is on a worker."""
+        """Whether a worker has batch runs, assigned or still running."""
         keys = (
             *self._store.held_by(incarnation.report.worker),
             *(row.task for row in incarnation.running),
--- a/src/wigeonreach/scheduling/_ends.py
+++ b/src/wigeonreach/scheduling/_ends.py
@@ -1,4 +1,4 @@
-"""Tell which runs on a worker are over, by its newest heartbeat."""
+"""Derive the ends of runs from a worker's newest heartbeat."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 from wigeonreach.scheduling._incarnation import Incarnation
 from wigeonreach.scheduling._orders import (
     is_over_cap,
-    not_begun,
-    over_room,
+    unlisted_runs,
+    runs_over_capacity,
 )
 from wigeonreach.wire._worker_messages import EndedRun
 
 
-class EndsOfRuns:
-    """What workers told of, and what they did not begin and shall not begin.
+class RunEnds:
+    """Finds ends that workers report, and starts that are withdrawn from them.
 
     Parameters
     ----------
     store
         The replicated state; it is only read.
     advice
-        The tickets without which some runs can't begin.
+        The tickets that some runs need to begin.
     stopping
         Runs that are being stopped.
     """
@@ -34,13 +34,13 @@
         advice: TicketCache,
         stopping: Collection[Run],
     ) -> None:
-        """Look at nothing yet."""
+        """Store what the ends are derived from."""
         self._store = store
         self._advice = advice
         self._stopping = stopping
 
     def told(self, incarnation: Incarnation) -> tuple[RunEnded, ...]:
-        """Return the ends that are listed and not recorded yet."""
+        """Return the reported ends that are not recorded yet."""
         listed = {(row.task, row.run) for row in incarnation.running}
         return tuple(
             RunEnded(
@@ -52,41 +52,41 @@
             )
             for ended in incarnation.report.ended
             if ended.number > incarnation.noted
-            and not _is_repeat(ended, listed)
+            and not _is_duplicate_refusal(ended, listed)
         )
 
     def withdrawn(self, incarnation: Incarnation) -> tuple[RunEnded, ...]:
-        """Return the runs to be reassigned, as they do not begin here."""
-        unlisted = tuple(not_begun(incarnation, self._store))
-        incarnation.given.intersection_update(unlisted)
-        unfit = {*self._stopping, *over_room(incarnation, self._store)}
+        """Return the runs that are withdrawn before they begin on a worker."""
+        unlisted = tuple(unlisted_runs(incarnation, self._store))
+        incarnation.unlisted_starts.intersection_update(unlisted)
+        unfit = {*self._stopping, *runs_over_capacity(incarnation, self._store)}
         return tuple(
             RunEnded(key, run, incarnation.report.worker, RunEnd.REFUSED)
             for key, run in unlisted
-            if self._is_over(incarnation, key)
-            or self._is_taken_back(incarnation, (key, run), unfit)
+            if self._takes_no_runs(incarnation, key)
+            or self._is_to_withdraw(incarnation, (key, run), unfit)
         )
 
-    def _is_over(self, incarnation: Incarnation, key: TaskKey) -> bool:
-        """Whether a task's job or worker takes nothing more."""
+    def _takes_no_runs(self, incarnation: Incarnation, key: TaskKey) -> bool:
+        """Whether a task's job has ended or its worker drains."""
         job = self._store.job_of(key)
         is_active = job is not None and job.is_active
         return incarnation.report.is_draining or not is_active
 
-    def _is_taken_back(
+    def _is_to_withdraw(
         self,
         incarnation: Incarnation,
         run: Run,
         unfit: Collection[Run],
     ) -> bool:
-        if not incarnation.surely_lacks(run):
+        if not incarnation.has_not_begun(run):
             return False
         if run in unfit or is_over_cap(run[0], self._store):
             return True
         return self._lacks_ticket(incarnation, run)
 
     def _lacks_ticket(self, incarnation: Incarnation, run: Run) -> bool:
-        # A worker that waits for a ticket holds room for nothing.
+        # Without a ticket the run would block resources of the worker in vain.
         job = self._store.job_of(run[0])
         if job is None or job.queue.advice is None:
             return False
@@ -94,7 +94,7 @@
         return not self._advice.ticket(run[0], worker, incarnation.heard_s)
 
 
-def _is_repeat(ended: EndedRun, listed: Collection[Run]) -> bool:
-    """Whether a second order for what runs already was refused."""
+def _is_duplicate_refusal(ended: EndedRun, listed: Collection[Run]) -> bool:
+    """Whether a worker refused a repeated order for a run that it has."""
     is_listed = (ended.task, ended.run) in listed
     return is_listed and ended.end is RunEnd.REFUSED
--- a/src/wigeonreach/scheduling/_evidence.py
+++ b/src/wigeonreach/scheduling/_evidence.py
@@ -1,4 +1,4 @@
-"""Weigh what the crash of a worker proves of the runs that it had."""
+"""Grade the evidence that a worker's crash provides against its runs."""
 
 from __future__ import annotations
 
@@ -7,11 +7,12 @@
 
 from wigeonreach.jobs import CrashEvidence, Run
 
-# A task that crashes its worker does so when it starts.  What had worked for so
-# long was not the cause: several times what heartbeats need to tell of a start.
+# A task that crashes its worker does so when it starts.  A run that had been
+# running for this long was not the cause; it is several times what heartbeats
+# need to report a start.
 SOUND_S = 10.0
-# So long after it was first listed a run counts as just begun: four heartbeats
-# of a busy worker.
+# A run counts as just begun for this long after it was first listed: four
+# heartbeats of a busy worker.
 JUST_BEGUN_S = 1.0
 
 
@@ -22,13 +23,13 @@
     Attributes
     ----------
     job_id
-        Whose run it is.
+        The job of the run.
     worked_s
-        For how long it was listed when its worker was heard last.
+        How long it had been listed when its worker was last heard.
     is_at_start
-        The worker was told to start it, and not heard any more.
+        Whether the worker was told to start it and never listed it.
     crashes
-        How many crashes speak against its task already.
+        Number of crashes that already count against its task.
     """
 
     job_id: str
@@ -38,35 +39,35 @@
 
     @property
     def has_just_begun(self) -> bool:
-        """Whether its start may have brought the worker down."""
+        """Whether its start may have crashed the worker."""
         return self.worked_s < JUST_BEGUN_S
 
     @property
     def is_sound(self) -> bool:
-        """Whether it had worked for too long to be the cause."""
+        """Whether it had run for too long to be the cause."""
         return self.worked_s >= SOUND_S
 
 
 def evidence_of(runs: Mapping[Run, LostRun]) -> dict[Run, CrashEvidence]:
-    """Return what the crash of a worker proves of each of its runs."""
+    """Return the evidence of a worker's crash against each of its runs."""
     unsound = [lost for lost in runs.values() if not lost.is_sound]
-    # Beside what was never listed, only another start can be the cause, or what
-    # was lost before.
-    may_have_begun_it = {
+    # For a run that was never listed, the only other possible causes are starts
+    # and tasks with earlier crashes.
+    start_suspects = {
         lost.job_id for lost in unsound if lost.has_just_begun or lost.crashes
     }
     all_jobs = {lost.job_id for lost in unsound}
     return {
-        run: _evidence(
+        run: _evidence_of_run(
             lost,
-            may_have_begun_it if lost.is_at_start else all_jobs,
+            start_suspects if lost.is_at_start else all_jobs,
         )
         for run, lost in runs.items()
     }
 
 
-def _evidence(lost: LostRun, suspected: Set[str]) -> CrashEvidence:
-    """Return what a crash proves of a run, by the jobs that may be its cause."""
+def _evidence_of_run(lost: LostRun, suspected: Set[str]) -> CrashEvidence:
+    """Return the evidence against a run, given the jobs that are suspected."""
     if lost.is_sound:
         return CrashEvidence.SOUND
     if suspected - {lost.job_id}:
--- a/src/wigeonreach/scheduling/_incarnation.py
+++ b/src/wigeonreach/scheduling/_incarnation.py
@@ -1,4 +1,4 @@
-"""Describe one incarnation of a worker, and what its heartbeats prove."""
+"""Track one incarnation of a worker, and what its heartbeats prove."""
 
 from __future__ import annotations
 
@@ -7,59 +7,68 @@
 from wigeonreach._room import Room
 from wigeonreach.jobs import Run, RunEnded
 from wigeonreach.jobs._model import MEBIBYTE, MILLICORES
-from wigeonreach.scheduling._heartbeat_age import HeartbeatAge
+from wigeonreach.scheduling._send_time import SendTimeEstimator
 from wigeonreach.wire._worker_messages import RunningTask, WorkerReport
 
-# How long a worker may go on after a heartbeat that was answered.  Longer
+# How long a worker may continue after a heartbeat that was answered.  Longer
 # than an election with a lost heartbeat before and after it (about 3 s); short
-# enough that work of a lost worker is soon somewhere else.
+# enough that the work of a lost worker is soon restarted elsewhere.
 LEASE_MS = 4000
 _LEASE_S = LEASE_MS / 1000
-# A worker's clock may be 2 % slow, as the platform's pages say.
+# A worker's clock may be 2 % slow, by the platform's documentation.
 _SLOW_CLOCK_RATIO = 1.02
-# What a stop at the end of a lease may take, and a late tick of our own.
-_LAPSE_MARGIN_S = 0.3
-LEASE_OVER_S = _LEASE_S * _SLOW_CLOCK_RATIO + _LAPSE_MARGIN_S
-# Heartbeats of a dead incarnation may still arrive, but not over such a time;
-# those of a new one go on.
-SUCCESSOR_PROVEN_S = 1.0
-# A worker that is silent for longer gets nothing new: heartbeats come several
-# times a second, and one is given up after 1 s by its sender.
-SILENT_S = 1.3
-# A worker is heard again within 0.8 s of a heartbeat that was answered, also
-# where the answer was held, and after 1 s of one that was not.
-_UNANSWERED_S = 0.9
-# A heartbeat that a former leader answered may be passed on for so long after the
-# worker's first one in a term: its sender gives it up after 1 s, and whoever
-# passes it on after 0.9 s.
-_ANSWERED_BEFORE_S = 2.0
-# An order for a VM ends what runs on it at once; who is heard well after it was
-# confirmed goes on.
-_ORDER_WORKS_S = 1.0
+# Covers the stop at the end of a lease, and a late tick of this process.
+_LEASE_MARGIN_S = 0.3
+LEASE_OVER_S = _LEASE_S * _SLOW_CLOCK_RATIO + _LEASE_MARGIN_S
+# An incarnation that is heard over this time is alive.  Delayed heartbeats of a
+# dead one may still arrive, but not spread over so long.
+PROVEN_ALIVE_S = 1.0
+# A worker that is silent for longer gets no new work: heartbeats are sent
+# several times a second, and each times out after 1 s at its sender.
+SILENT_AFTER_S = 1.3
+# Separates heartbeats that were answered from those that were not: the next one
+# comes within 0.8 s of an answered one, even if the answer was held back, and
+# after 1 s of an unanswered one.
+_MAX_ANSWERED_GAP_S = 0.9
+# How long after a worker's first heartbeat of a term one may arrive that a
+# former leader answered: it times out after 1 s at its sender, and after 0.9 s
+# at the process that forwards it.
+_FORMER_ANSWERS_S = 2.0
+# An order for a VM ends everything on it at once.  A worker that is heard this
+# long after the confirmation was not ended by it.
+_ORDER_EFFECT_S = 1.0
 
 
 @dataclasses.dataclass(slots=True)
 class Incarnation:
-    """One incarnation of a worker, as its newest heartbeat told.
+    """One incarnation of a worker, as of its newest heartbeat.
 
     Attributes
     ----------
+    report
+        The newest heartbeat.
+    first_heard_s
+        When its first heartbeat of this term arrived.
+    heard_s
+        When its newest heartbeat arrived.
+    room
+        All resources of the worker.
     noted
-        Number up to which its ends are recorded for good.
-    leaves_at_s
-        When it surely has ended, once it said that it ends.
+        Number of the last of its ends that is committed.
+    ends_at_s
+        When it has certainly ended, once it announced its end.
     ordered_s
-        When an order for its VM was confirmed last.
-    doubted_s
-        Since when it has to prove that it goes on.
-    awaits_start
-        Whether a start on it was decided last, and may not be recorded yet.
-    leased_s
-        When the last heartbeat came that was answered in this term.
-    given
-        Runs that this leader gave it and that it has not listed yet.
-    told
-        What the newest answer told it to start.
+        When an order for its VM was last confirmed.
+    unproven_since_s
+        Since when it has to prove that it is alive.
+    has_unrecorded_start
+        Whether the latest plan starts a run on it that may not be recorded yet.
+    lease_renewed_s
+        When the last heartbeat arrived that was answered in this term.
+    unlisted_starts
+        Runs that this leader assigned to it and that it has not listed yet.
+    ordered_starts
+        Runs that the newest answer told it to start.
     sent_s
         When its newest heartbeat was sent.
     """
@@ -69,82 +78,87 @@
     heard_s: float
     room: Room
     noted: int = 0
-    leaves_at_s: float | None = None
+    ends_at_s: float | None = None
     ordered_s: float = float('-inf')
-    doubted_s: float = float('-inf')
-    awaits_start: bool = False
-    leased_s: float = float('-inf')
-    given: set[Run] = dataclasses.field(default_factory=set)
+    unproven_since_s: float = float('-inf')
+    has_unrecorded_start: bool = False
+    lease_renewed_s: float = float('-inf')
+    unlisted_starts: set[Run] = dataclasses.field(default_factory=set)
     told: frozenset[Run] = frozenset()
     sent_s: float = float('-inf')
-    _age: HeartbeatAge = dataclasses.field(default_factory=HeartbeatAge)
+    _send_time: SendTimeEstimator = dataclasses.field(
+        default_factory=SendTimeEstimator
+    )
 
     def __post_init__(self) -> None:
-        """Take note of when the first heartbeat was sent."""
-        self.sent_s = self._age.sent_s(self.report.clock_ms, self.heard_s)
+        """Estimate when the first heartbeat was sent."""
+        self.sent_s = self._send_time.estimate_s(
+            self.report.clock_ms, self.heard_s
+        )
 
-    def take(self, report: WorkerReport, now_s: float) -> None:
-        """Take a newer heartbeat."""
+    def update(self, report: WorkerReport, now_s: float) -> None:
+        """Apply a newer heartbeat."""
         self.report = report
         self.heard_s = now_s
-        self.sent_s = self._age.sent_s(report.clock_ms, now_s)
+        self.sent_s = self._send_time.estimate_s(report.clock_ms, now_s)
         self.room = room_of(report)
 
     @property
     def running(self) -> tuple[RunningTask, ...]:
-        """What runs there, as it last told."""
+        """The runs that its newest heartbeat lists."""
         return self.report.running
 
     @property
     def lease_over_s(self) -> float:
-        """When everything on it has surely been ended by its lease."""
+        """When the end of its lease has certainly ended all of its runs."""
         return self.heard_s + LEASE_OVER_S
 
     @property
     def is_ending(self) -> bool:
-        """Whether it said that it ends."""
-        return self.report.is_draining or self.leaves_at_s is not None
+        """Whether it drains or announced its end."""
+        return self.report.is_draining or self.ends_at_s is not None
 
     def may_take(self, now_s: float) -> bool:
-        """Whether new work may be given to it."""
-        is_ordered = self.heard_s - self.ordered_s < _ORDER_WORKS_S
-        is_doubtful = self.is_ending or is_ordered or not self.is_proven
+        """Whether it may be given new work."""
+        is_ordered = self.heard_s - self.ordered_s < _ORDER_EFFECT_S
+        is_doubtful = self.is_ending or is_ordered or not self.is_proven_alive
         return not self.is_silent(now_s) and not is_doubtful
 
     @property
-    def is_proven(self) -> bool:
-        """Whether it surely goes on, as far as it was doubted.
+    def is_proven_alive(self) -> bool:
+        """Whether it is certainly alive, if that was in doubt.
 
-        One late heartbeat of a worker that has ended proves nothing.
+        A single late heartbeat of a worker that has ended proves nothing.
         """
-        return self.heard_s - self.doubted_s >= SUCCESSOR_PROVEN_S
+        return self.heard_s - self.unproven_since_s >= PROVEN_ALIVE_S
 
-    def surely_lacks(self, run: Run) -> bool:
-        """Whether a run that its newest heartbeat does not list was not begun.
+    def has_not_begun(self, run: Run) -> bool:
+        """Whether an unlisted run has certainly not begun.
 
-        A heartbeat may reach this leader after a former one has answered it with
-        starts.  Taking back what it does not list would then begin runs twice.
+        A former leader may have answered the same heartbeat with starts before
+        it reached this leader.  Withdrawing the runs that it does not list
+        would then start them twice.
         """
         heard_for_s = self.heard_s - self.first_heard_s
-        return run in self.given or heard_for_s >= _ANSWERED_BEFORE_S
+        return run in self.unlisted_starts or heard_for_s >= _FORMER_ANSWERS_S
 
     @property
     def needs_lease(self) -> bool:
         """Whether its newest heartbeat has to be answered at once.
 
-        The one before was not answered, or not by this leader, so its lease is
-        older than it looks from here.
+        The heartbeat before was not answered, or not by this leader, so less of
+        its lease is left than its newest heartbeat suggests.
         """
-        return self.heard_s - self.leased_s > _UNANSWERED_S
+        return self.heard_s - self.lease_renewed_s > _MAX_ANSWERED_GAP_S
 
     def is_silent(self, now_s: float) -> bool:
         """Whether a heartbeat is overdue."""
-        return now_s - self.heard_s > SILENT_S
+        return now_s - self.heard_s > SILENT_AFTER_S
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EndedIncarnation:
-    """An incarnation that is over, and what proves it."""
+    """An incarnation that has ended, and the reason in words."""
 
     incarnation: Incarnation
     reason: str
@@ -152,10 +166,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Heard:
-    """What a heartbeat brought.
+    """The result of a heartbeat.
 
-    ``ends`` have to be recorded before they are acknowledged.  ``stalled`` are
-    runs without progress, which are being stopped.
+    Attributes
+    ----------
+    incarnation
+        The worker that sent it.
+    ends
+        Ends of runs, which must be committed before they are acknowledged.
+    stalled
+        Runs without progress, which are being stopped.
     """
 
     incarnation: Incarnation
@@ -164,7 +184,7 @@
 
 
 def room_of(report: WorkerReport) -> Room:
-    """Return the whole room of a worker."""
+    """Return all resources of a worker."""
     return Room(
         report.cpu_millicores / MILLICORES,
         report.memory_mb * MEBIBYTE,
--- a/src/wigeonreach/scheduling/_losses.py
+++ b/src/wigeonreach/scheduling/_losses.py
@@ -1,4 +1,4 @@
-"""Describe workers that fell silent, and tell which went down together."""
+"""Correlate workers that fell silent, to find failed racks and zones."""
 
 from __future__ import annotations
 
@@ -10,37 +10,40 @@
 from wigeonreach.jobs import CrashEvidence, Run, RunCrashed
 from wigeonreach.scheduling._incarnation import Incarnation
 
-# Workers that go down together are heard last within the pause between two
-# heartbeats of an idle one (0.7 s) and one that was given up (0.8 s).
-_TOGETHER_S = 1.5
-# Of two that go down at one moment, an idle one was heard within this before.
-_AT_ONCE_S = 0.9
+# Greatest difference between the last heartbeats of workers that fail together:
+# the interval of an idle worker (0.7 s) and a heartbeat that timed out (0.8 s).
+_SAME_OUTAGE_S = 1.5
+# Greatest difference if no heartbeat timed out: if two workers fail at the same
+# moment, even an idle one was heard this shortly before.
+_SAME_MOMENT_S = 0.9
 
 
 @dataclasses.dataclass(slots=True)
 class WorkerLoss:
-    """A worker that fell silent without a word.
+    """A worker that fell silent without announcing its end.
 
     Attributes
     ----------
-    service, zone, rack
-        Where it was; nothing if it was not heard in this term.
+    worker, vm
+        Its incarnation and its VM.
     heard_s
-        When it was heard last.
-    noted_s
+        When it was last heard.
+    given_up_s
         When it was given up.
+    service, zone, rack
+        Its service and location; empty if it was not heard in this term.
     runs
-        What it had, with what its crash would prove.
+        Its runs, with the evidence that its crash would provide against each.
     at_start
-        Those that it was told to start when it was heard last.
+        The runs that it was told to start when it was last heard.
     is_provoked
-        Something had just begun there that may have brought it down.
+        Whether a run had just begun on it that may have crashed it.
     """
 
     worker: str
     vm: str
     heard_s: float
-    noted_s: float
+    given_up_s: float
     service: str = ''
     zone: str = ''
     rack: str = ''
@@ -48,38 +51,41 @@
     at_start: set[Run] = dataclasses.field(default_factory=set)
     is_provoked: bool = False
 
-    def mark(self, run: Run, evidence: CrashEvidence) -> RunCrashed:
-        """Return what is to be recorded of one of its runs."""
+    def crash_record(self, run: Run, evidence: CrashEvidence) -> RunCrashed:
+        """Return the record of this loss for one of its runs."""
         return RunCrashed(*run, evidence, run in self.at_start)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DomainLoss:
-    """A rack or zone of which no worker was heard for longer than one.
+    """A rack or zone that has no survivor of the time when a worker was lost.
 
     Attributes
     ----------
-    is_proved
-        It went with one that had nothing to bring it down, or with several of
-        more than one service: tasks of a queue that crash their workers one by
-        one leave none like that.  Otherwise they may be the cause all the same.
+    name
+        The rack or zone.
+    is_conclusive
+        Whether the failure of the rack or zone is proved: an unprovoked worker
+        was lost with it, or several workers of more than one service.  Tasks of
+        a queue that crash their workers one by one don't look like this.
+        Otherwise such tasks may still be the cause.
     """
 
     name: str
-    is_proved: bool
+    is_conclusive: bool
 
 
-class FallenWorkers:
-    """The workers that fell silent lately, beside those that go on.
+class LossCorrelation:
+    """Compares recently lost workers with each other and with the survivors.
 
-    Made once for all losses that are judged together: when a zone of thousands
-    of workers is back, each of them is compared with those of its own rack and
-    zone only.
+    It is built once for all losses that are settled together and is indexed by
+    rack and zone, so that after the return of a zone with thousands of workers
+    each loss is compared only with those of its own rack and zone.
 
     Parameters
     ----------
     losses
-        All workers that fell silent lately.
+        All workers that fell silent recently.
     incarnations
         The workers that are not given up.
     """
@@ -89,62 +95,66 @@
         losses: Iterable[WorkerLoss],
         incarnations: Iterable[Incarnation],
     ) -> None:
-        """Sort them by rack and zone."""
+        """Index the workers by rack and zone."""
         fallen = tuple(losses)
         self._unprovoked_heard_s = sorted(
             loss.heard_s for loss in fallen if not loss.is_provoked
         )
-        self._lost = collections.defaultdict[str, list[WorkerLoss]](list)
-        self._heard = collections.defaultdict[str, list[Incarnation]](list)
+        self._losses_by_domain = collections.defaultdict[str, list[WorkerLoss]](
+            list
+        )
+        self._heard_by_domain = collections.defaultdict[str, list[Incarnation]](
+            list
+        )
         for loss in fallen:
             for domain in _domains(loss.rack, loss.zone):
-                self._lost[domain].append(loss)
+                self._losses_by_domain[domain].append(loss)
         for known in incarnations:
             for heard_in in _domains(known.report.rack, known.report.zone):
-                self._heard[heard_in].append(known)
+                self._heard_by_domain[heard_in].append(known)
 
-    def domain_of(self, loss: WorkerLoss) -> DomainLoss | None:
-        """Return the rack or zone that went down with a worker, if one did."""
+    def failed_domain(self, loss: WorkerLoss) -> DomainLoss | None:
+        """Return the rack or zone that failed with a worker, if one did."""
         for domain in _domains(loss.rack, loss.zone):
             others = [
                 other
-                for other in self._lost[domain]
+                for other in self._losses_by_domain[domain]
                 if other.worker != loss.worker
-                and abs(other.heard_s - loss.heard_s) <= _TOGETHER_S
+                and abs(other.heard_s - loss.heard_s) <= _SAME_OUTAGE_S
             ]
             if others and not self._has_survivor(domain, loss.heard_s):
-                return DomainLoss(domain, _is_proved(loss, others))
+                return DomainLoss(domain, _is_conclusive(loss, others))
         return None
 
-    def has_company(self, loss: WorkerLoss) -> bool:
-        """Whether a worker went down beside one, and had nothing to do so by.
+    def coincides_with_unprovoked(self, loss: WorkerLoss) -> bool:
+        """Whether an unprovoked worker was lost at the same moment.
 
-        Where some go down by themselves at that moment, it may be one of them.
+        If workers fail by themselves at that moment, this may be one of them.
         """
         heard_s = self._unprovoked_heard_s
-        first = bisect.bisect_left(heard_s, loss.heard_s - _AT_ONCE_S)
-        behind = bisect.bisect_right(heard_s, loss.heard_s + _AT_ONCE_S)
+        first = bisect.bisect_left(heard_s, loss.heard_s - _SAME_MOMENT_S)
+        behind = bisect.bisect_right(heard_s, loss.heard_s + _SAME_MOMENT_S)
         itself = int(not loss.is_provoked)
         return behind - first > itself
 
     def _has_survivor(self, domain: str, heard_s: float) -> bool:
-        """Whether a worker that was there then was heard well after."""
+        """Whether a worker that was up at that time was heard well after it."""
         return any(
             known.first_heard_s <= heard_s
-            and known.heard_s > heard_s + _TOGETHER_S
-            for known in self._heard[domain]
+            and known.heard_s > heard_s + _SAME_OUTAGE_S
+            for known in self._heard_by_domain[domain]
         )
 
 
 def _domains(rack: str, zone: str) -> Iterator[str]:
-    """Yield the names of a worker's rack and zone, the smaller one first."""
+    """Yield the names of a worker's rack and zone, the smaller domain first."""
     if rack:
         yield f'rack {rack}'
     if zone:
         yield f'zone {zone}'
 
 
-def _is_proved(loss: WorkerLoss, others: Collection[WorkerLoss]) -> bool:
+def _is_conclusive(loss: WorkerLoss, others: Collection[WorkerLoss]) -> bool:
     if any(not other.is_provoked for other in others):
         return True
     services = {loss.service, *(other.service for other in others)}
--- a/src/wigeonreach/scheduling/_lost_runs.py
+++ b/src/wigeonreach/scheduling/_lost_runs.py
@@ -1,4 +1,4 @@
-"""Give up runs that their workers can't tell the end of."""
+"""Give up runs whose workers can no longer report their end."""
 
 from __future__ import annotations
 
@@ -11,31 +11,32 @@
 from wigeonreach.scheduling._second_runs import copied
 from wigeonreach.scheduling._workers import Workers
 
-# A leader looks at leases every 0.05 s; whatever kept it for longer also kept
-# heartbeats.
+# The leader checks leases every 0.05 s.  If a check is this late, the process
+# was stalled and did not receive heartbeats either.
 _STALL_S = 0.5
-# Each worker sends within this, also if its last heartbeat was given up.
+# Each worker sends a heartbeat within this time, even if its last one timed
+# out.
 _LISTEN_S = 1.5
 
 
 class LostRuns:
-    """Find the runs of workers that are over, and those that may have a copy.
+    """Finds the runs of ended workers, and runs of silent ones to copy.
 
     Parameters
     ----------
     store
-        What runs where; it is only read.
+        The replicated state; it is only read.
     workers
-        Those that are heard.
+        The incarnations heard in this term.
     progress
-        Since when runs are at work.
+        Tells how long runs have been listed.
     now_s
         When the term began.
 
     Attributes
     ----------
     crashes
-        What the losses say of the runs.
+        Evidence against runs from the loss of their workers.
     """
 
     def __init__(
@@ -45,52 +46,52 @@
         progress: ProgressWatch,
         now_s: float,
     ) -> None:
-        """Have given up nothing."""
+        """Start with no run given up."""
         self._store = store
         self._workers = workers
         self.crashes = CrashWatch(store, workers, progress, now_s)
-        self._looked_s = now_s
-        self._awake_s = now_s
+        self._last_check_s = now_s
+        self._listening_since_s = now_s
 
-    def of_ended(
+    def of_ended_workers(
         self,
         ended: Mapping[str, EndedIncarnation],
         now_s: float,
     ) -> tuple[RunEnded, ...]:
-        """Return the runs of workers that are over.
+        """Return the runs of workers that have ended.
 
         Parameters
         ----------
         ended
-            Those of them that were heard until now.
+            The ended workers that were heard in this term.
         now_s
             Clock in seconds.
         """
         for worker, ending in ended.items():
             held = self._store.held_by(worker).items()
             self.crashes.note_lost(ending.incarnation, held, now_s)
-        over = {*ended, *self._unheard(now_s)}
+        over = {*ended, *self._unheard_workers(now_s)}
         return tuple(
-            self._lost(worker, run)
+            self._lost_end(worker, run)
             for worker in sorted(over)
             for run in self._store.held_by(worker).items()
         )
 
-    def doubled(self, now_s: float) -> tuple[RunEnded, ...]:
-        """Return the runs of silent workers of which copies may begin."""
-        if not self._is_awake(now_s):
+    def to_be_copied(self, now_s: float) -> tuple[RunEnded, ...]:
+        """Return the runs of silent workers that may be copied elsewhere."""
+        if not self._has_listened_long(now_s):
             return ()
         incarnations = self._workers.incarnations
         found = tuple(copied(incarnations, self._store, now_s))
         for incarnation, run in found:
             self.crashes.note_lost(incarnation, (run,), now_s)
         return tuple(
-            self._lost(incarnation.report.worker, run)
+            self._lost_end(incarnation.report.worker, run)
             for incarnation, run in found
         )
 
-    def _unheard(self, now_s: float) -> Iterator[str]:
-        """Yield the workers with runs that are over and are not followed."""
+    def _unheard_workers(self, now_s: float) -> Iterator[str]:
+        """Yield the ended workers with runs that are not tracked any more."""
         for worker in tuple(self._store.assigned):
             if not self._workers.is_over(worker, now_s):
                 continue
@@ -98,18 +99,18 @@
                 self.crashes.note_unheard(worker, now_s)
             yield worker
 
-    def _lost(self, worker: str, run: Run) -> RunEnded:
+    def _lost_end(self, worker: str, run: Run) -> RunEnded:
         key, number = run
         task = self._store.task_of(key)
         saved = task.checkpoint if task else ''
         return RunEnded(key, number, worker, RunEnd.LOST, saved)
 
-    def _is_awake(self, now_s: float) -> bool:
-        """Whether this process has listened for as long as workers may take.
+    def _has_listened_long(self, now_s: float) -> bool:
+        """Whether this process has run long enough to hear every worker.
 
-        One that stood still finds all its workers silent, and none is.
+        After a stall of the process all workers look silent although none is.
         """
-        if now_s - self._looked_s > _STALL_S:
-            self._awake_s = now_s
-        self._looked_s = now_s
-        return now_s - self._awake_s >= _LISTEN_S
+        if now_s - self._last_check_s > _STALL_S:
+            self._listening_since_s = now_s
+        self._last_check_s = now_s
+        return now_s - self._listening_since_s >= _LISTEN_S
--- a/src/wigeonreach/scheduling/_maintenance.py
+++ b/src/wigeonreach/scheduling/_maintenance.py
@@ -1,9 +1,9 @@
-"""Decide which VMs of the waves are emptied and maintained next.
+"""Decide which VMs of the maintenance waves are emptied and ordered next.
 
-Answers waves that fall into the busiest seconds: VMs with nothing on them are
-taken first, as many as the wave allows; of the others only so many at once as
-the time that the wave has asks for; batch work ends by itself where it can, serving tasks leave one by one,
-and a VM is taken once nothing is on it.
+A wave may come at peak load.  Idle VMs are therefore taken first, as many as
+the wave allows, and of the busy ones only as many at once as the wave needs to
+end in time.  Batch runs may finish if they are short, serving runs are stopped
+one by one, and a VM is ordered once it is empty.
 """
 
 from __future__ import annotations
@@ -14,38 +14,41 @@
 
 from wigeonreach.jobs import JobStore, Run, VmStep, WaveRecord
 from wigeonreach.scheduling._incarnation import Incarnation
-from wigeonreach.scheduling._moving_out import MovingOut, is_empty
+from wigeonreach.scheduling._moving_out import DisruptionBudget, is_empty
 from wigeonreach.scheduling._vms import VmPhase, VmRecord
 from wigeonreach.scheduling._workers import Workers
 from wigeonreach.wire._worker_messages import worker_id_of
 
-# Batch tasks last about a second; what still runs after this is stopped, as
-# it holds one of the few places of the wave.
-_WAIT_FOR_BATCH_S = 3.0
-# From when a VM is chosen until it counts as back: emptying, 2 s of maintenance,
-# and up to a second until its worker goes on or the list tells.  With 4 s, waves
-# ended a tenth or two of their time late.
-_VM_TAKES_S = 5.0
-# An idle worker's second heartbeat comes within three quarters of a second.
-_GOES_ON_S = 0.5
-# Of the time that a wave has; the rest covers faults and changes of leader.
+# Batch tasks last about a second.  A run that lasts longer than this is
+# stopped, as its VM takes up one of the few that the wave may have down at
+# once.
+_BATCH_GRACE_S = 3.0
+# Time from the choice of a VM until it counts as back: emptying, 2 s of
+# maintenance, and up to a second until its worker or the list shows it.  With
+# 4 s, waves ended late by a tenth or two of their time.
+_VM_TURNAROUND_S = 5.0
+# A worker is up if its heartbeats span this time.  The second heartbeat of an
+# idle worker comes within three quarters of a second.
+_PROVEN_UP_S = 0.5
+# Share of a wave's time that is planned; the rest covers faults and changes of
+# leader.
 _PLANNED_RATIO = 0.8
-# Of a pool's workers, so many may be emptied for waves at once.
-_MOST_OF_POOL_RATIO = 0.25
+# Greatest share of a pool's workers to be emptied for waves at once.
+_MAX_POOL_RATIO = 0.25
 
 
 @dataclasses.dataclass(slots=True)
 class MaintenanceStep:
-    """What the maintenance of the waves needs now.
+    """The actions that the waves need now.
 
     Attributes
     ----------
     stops
-        Runs that have to leave their workers.
+        Runs to be stopped.
     orders
-        VMs that are empty, with their wave and the worker that ends.
+        VMs to be ordered: the wave, the VM and the worker that the order ends.
     returned
-        VMs that are back, with their wave.
+        VMs that are back from maintenance: the wave and the VM.
     """
 
     stops: list[Run] = dataclasses.field(default_factory=list)
@@ -56,7 +59,7 @@
 
 
 class Maintenance:
-    """Follow the waves, for the leader of one term.
+    """Carries out the maintenance waves, for the leader of one term.
 
     Parameters
     ----------
@@ -64,8 +67,8 @@
         The replicated state; it is only read.
     workers
         The incarnations of the workers.
-    moving_out
-        Which serving tasks may leave.
+    disruption_budget
+        Decides which serving runs may be stopped.
     maintained_s
         How long a VM is away for its maintenance.
     """
@@ -74,27 +77,27 @@
         self,
         store: JobStore,
         workers: Workers,
-        moving_out: MovingOut,
+        disruption_budget: DisruptionBudget,
         maintained_s: float,
     ) -> None:
-        """Empty nothing yet."""
+        """Start with no VM being emptied."""
         self._maintained_s = maintained_s
-        self._busy: frozenset[str] | None = None
+        self._busy_ids_cache: frozenset[str] | None = None
         self._store = store
         self._workers = workers
-        self._moving_out = moving_out
+        self._disruption_budget = disruption_budget
         self._vms: dict[str, VmRecord] = {}
-        # Since when, by wave and VM; until the order is recorded.
+        # By wave and VM: since when it is emptied, until its order is recorded.
         self._emptied_since_s: dict[tuple[int, str], float] = {}
         self._confirmed_s: dict[tuple[int, str], float] = {}
         self._listed_s = float('-inf')
-        # How much time is left is known only for waves that came in this term.
-        self._inherited = frozenset(store.waves)
+        # The time left is known only for waves that began in this term.
+        self._inherited_waves = frozenset(store.waves)
         self._began_s: dict[int, float] = {}
 
     @property
     def cordoned(self) -> set[str]:
-        """VMs that get nothing new."""
+        """VMs that get no new work."""
         ordered = {
             vm
             for wave in self._store.waves.values()
@@ -114,7 +117,7 @@
 
     @property
     def needs_list(self) -> bool:
-        """Whether there are VMs of which no heartbeat tells enough."""
+        """Whether there are VMs whose state no heartbeat shows."""
         return any(
             progress.step is VmStep.ORDERED or self._workers.of_vm(vm) is None
             for wave in self._store.waves.values()
@@ -123,12 +126,12 @@
         )
 
     def note_vms(self, vms: tuple[VmRecord, ...], asked_s: float) -> None:
-        """Take the platform's list of VMs, which was asked for then."""
+        """Store the platform's list of VMs, requested at ``asked_s``."""
         self._vms = {record.vm: record for record in vms}
         self._listed_s = asked_s
 
     def note_confirmed(self, wave: int, vm: str, now_s: float) -> None:
-        """Take note that the platform carried an order out."""
+        """Record that the platform carried out an order."""
         self._confirmed_s[wave, vm] = now_s
 
     def step(
@@ -137,32 +140,32 @@
         now_s: float,
         held: Collection[str] = (),
     ) -> MaintenanceStep:
-        """Return what is to be done now.
+        """Return the actions that are due now.
 
         Parameters
         ----------
         stopping
-            What is being stopped already.
+            Runs that are being stopped already.
         now_s
             Clock in seconds.
         held
             VMs that may not be ordered yet; others of their wave go first.
         """
-        self._busy = None
-        self._choose(held, now_s)
+        self._busy_ids_cache = None
+        self._start_emptying(held, now_s)
         found = MaintenanceStep()
         for wave in self._store.waves.values():
             for vm, progress in wave.vms.items():
                 if progress.step is VmStep.WAITING:
-                    self._empty(wave, vm, stopping, now_s, found)
+                    self._continue_emptying(wave, vm, stopping, now_s, found)
                     continue
-                # Nothing was to be started there until this was recorded.
+                # The VM was cordoned until its order was recorded.
                 self._emptied_since_s.pop((wave.wave, vm), None)
                 if progress.step is VmStep.ORDERED:
-                    self._follow(wave, vm, found)
+                    self._follow_order(wave, vm, found)
         return found
 
-    def _follow(
+    def _follow_order(
         self,
         wave: WaveRecord,
         vm: str,
@@ -173,7 +176,7 @@
         elif (wave.wave, vm) not in self._confirmed_s and self._is_up(vm):
             found.orders.append((wave.wave, vm, wave.vms[vm].worker))
 
-    def _empty(
+    def _continue_emptying(
         self,
         wave: WaveRecord,
         vm: str,
@@ -193,36 +196,36 @@
             return
         leaving = {*stopping, *found.stops}
         found.stops.extend(
-            self._moving_out.movable_now(incarnation, leaving, now_s),
+            self._disruption_budget.stoppable_now(incarnation, leaving, now_s),
         )
-        if now_s - since_s > _WAIT_FOR_BATCH_S:
+        if now_s - since_s > _BATCH_GRACE_S:
             found.stops.extend(self._batch_runs(incarnation))
 
-    def _choose(self, held: Collection[str], now_s: float) -> None:
-        """Begin to empty idle VMs as allowed, others as they have to be."""
+    def _start_emptying(self, held: Collection[str], now_s: float) -> None:
+        """Start emptying idle VMs up to the limit, others as time requires."""
         for wave in self._store.waves.values():
             for vm in self._candidates(wave, held, now_s):
-                if not self._has_turn(wave, vm, now_s):
+                if not self._is_within_limit(wave, vm, now_s):
                     break
-                if self._may_empty(vm):
+                if self._is_within_pool_share(vm):
                     self._emptied_since_s[wave.wave, vm] = now_s
 
-    def _has_turn(self, wave: WaveRecord, vm: str, now_s: float) -> bool:
+    def _is_within_limit(self, wave: WaveRecord, vm: str, now_s: float) -> bool:
         emptying = [key for key in self._emptied_since_s if key[0] == wave.wave]
         at_once = wave.limit
-        if self._load(vm):
-            at_once = min(at_once, self._needed_at_once(wave, now_s))
+        if self._run_count(vm):
+            at_once = min(at_once, self._required_concurrency(wave, now_s))
         return wave.ordered + len(emptying) < at_once
 
-    def _needed_at_once(self, wave: WaveRecord, now_s: float) -> int:
-        """Return how many VMs at a time end a wave within its time."""
-        if wave.wave in self._inherited:
+    def _required_concurrency(self, wave: WaveRecord, now_s: float) -> int:
+        """Return how many VMs at once are needed to end a wave in time."""
+        if wave.wave in self._inherited_waves:
             return wave.limit
         began_s = self._began_s.setdefault(wave.wave, now_s)
         left_s = wave.due_after_s * _PLANNED_RATIO - (now_s - began_s)
-        if left_s <= _VM_TAKES_S:
+        if left_s <= _VM_TURNAROUND_S:
             return wave.limit
-        return math.ceil(wave.left * _VM_TAKES_S / left_s)
+        return math.ceil(wave.left * _VM_TURNAROUND_S / left_s)
 
     def _candidates(
         self,
@@ -230,7 +233,7 @@
         held: Collection[str],
         now_s: float,
     ) -> list[str]:
-        """Return the VMs that wait, those with the least on them in front."""
+        """Return the waiting VMs that may be ordered, fewest runs first."""
         in_hand = self.cordoned.union(held)
         waiting = [
             vm
@@ -239,7 +242,7 @@
             and vm not in in_hand
             and self._may_be_ordered(vm, now_s)
         ]
-        waiting.sort(key=lambda vm: (self._load(vm), vm))
+        waiting.sort(key=lambda vm: (self._run_count(vm), vm))
         return waiting
 
     def _may_be_ordered(self, vm: str, now_s: float) -> bool:
@@ -249,22 +252,23 @@
         record = self._vms.get(vm)
         if record is not None:
             return record.phase is VmPhase.UP
-        # Who is neither heard nor listed may be gone for good, which only the
-        # platform's answer to an order tells; a wave would wait for it for ever.
+        # A VM that is neither heard nor listed may be gone for good.  Only the
+        # platform's answer to an order shows that; without one the wave would
+        # never end.
         is_listed = self._listed_s > float('-inf')
-        return is_listed and self._workers.knows_all(now_s)
+        return is_listed and self._workers.has_heard_all(now_s)
 
     def _is_up(self, vm: str) -> bool:
         record = self._vms.get(vm)
         return record is None or record.phase is VmPhase.UP
 
-    def _load(self, vm: str) -> int:
+    def _run_count(self, vm: str) -> int:
         incarnation = self._workers.of_vm(vm)
         if incarnation is None:
             return 0
         return len(self._store.held_by(incarnation.report.worker))
 
-    def _may_empty(self, vm: str) -> bool:
+    def _is_within_pool_share(self, vm: str) -> bool:
         incarnation = self._workers.of_vm(vm)
         if incarnation is None:
             return True
@@ -275,46 +279,50 @@
         ]
         emptying = self._emptying
         away = sum(other in emptying for other in pool)
-        return away < max(1, round(len(pool) * _MOST_OF_POOL_RATIO))
+        return away < max(1, round(len(pool) * _MAX_POOL_RATIO))
 
     def _has_unheard_work(self, vm: str) -> bool:
-        """Whether a worker that was not heard in this term has tasks."""
+        """Whether a VM's worker, not heard in this term, has assigned runs."""
         record = self._vms.get(vm)
         return record is not None and record.worker in self._busy_ids()
 
     def _busy_ids(self) -> frozenset[str]:
-        """Return the ids of workers with tasks, found once for a whole step.
+        """Return the ids of workers with assigned runs, computed once a step.
 
-        The list names an id, and runs are recorded for one life of it.
+        The platform's list gives the worker's id, while runs are recorded for
+        one incarnation of it.
         """
-        if self._busy is None:
-            self._busy = frozenset(map(worker_id_of, self._store.assigned))
-        return self._busy
+        if self._busy_ids_cache is None:
+            self._busy_ids_cache = frozenset(
+                map(worker_id_of, self._store.assigned)
+            )
+        return self._busy_ids_cache
 
     def _batch_runs(self, incarnation: Incarnation) -> list[Run]:
         held = self._store.held_by(incarnation.report.worker)
         return [run for run in held.items() if self._store.is_batch(run[0])]
 
     def _is_back(self, wave: WaveRecord, vm: str) -> bool:
-        """Whether a VM runs again, by a new incarnation or by the list.
+        """Whether a VM is up again, by a new incarnation or by the list.
 
-        A worker that crashes has a new incarnation too, so nothing counts that
-        came before the platform confirmed the order; and the heartbeat of one
-        that the order ended may come late, so it has to go on.
+        A crash leads to a new incarnation too, so only one that is first heard
+        after the platform confirmed the order counts.  A late heartbeat may
+        come from the worker that the order ended, so the incarnation must be
+        heard for a while.
         """
         confirmed_s = self._confirmed_s.get((wave.wave, vm), float('inf'))
         incarnation = self._workers.of_vm(vm)
         if incarnation is not None and incarnation.first_heard_s > confirmed_s:
             heard_for_s = incarnation.heard_s - incarnation.first_heard_s
-            return heard_for_s >= _GOES_ON_S
+            return heard_for_s >= _PROVEN_UP_S
         if self._listed_s <= confirmed_s:
-            # A list from before the order tells nothing.
+            # A list from before the order does not show its effect.
             return False
         record = self._vms.get(vm)
         if record is None or record.phase is not VmPhase.UP:
             return False
         if record.worker != worker_id_of(wave.vms[vm].worker):
             return True
-        # No worker at all, or one that may have started again under its id.
+        # There is no worker, or one that may have restarted under the same id.
         is_over = self._listed_s - confirmed_s >= self._maintained_s
         return is_over or not record.worker
--- a/src/wigeonreach/scheduling/_moving_out.py
+++ b/src/wigeonreach/scheduling/_moving_out.py
@@ -1,9 +1,9 @@
-"""Empty a worker without taking more of a serving step than it may miss.
+"""Limit how many tasks of a serving step are unavailable at the same time.
 
-Answers waves, drains, runs without progress and changes of leader that come
-together: all that ends serving runs asks here, when it decides and each time that
-a worker is told, so that no two of them count the same task as at work.  A task
-that may be away already, for all that is known, is taken for away.
+Maintenance waves, drains, runs without progress and changes of leader may all
+stop serving runs at the same moment.  Each of them asks here, both when it
+decides on a stop and whenever a worker is told, so that no two of them rely on
+the same task.  A task that may be unavailable already counts as unavailable.
 """
 
 from __future__ import annotations
@@ -19,34 +19,35 @@
     TaskKey,
     TaskPhase,
 )
-from wigeonreach.scheduling._incarnation import SILENT_S, Incarnation
+from wigeonreach.scheduling._incarnation import SILENT_AFTER_S, Incarnation
 from wigeonreach.scheduling._progress import ProgressWatch
 from wigeonreach.scheduling._settings import SchedulingSettings
 
-# A serving task whose step says nothing is moved with one away at a time.
-_DEFAULT_MAY_MISS = 1
-_AT_WORK_PERCENT = 100
-# An answer that arrives does so within 1 s of its heartbeat.
-_ANSWER_LASTS_S = 1.0
-# The end of a stop is told with the next heartbeat, 0.05 s later.
-_TELLING_S = 0.1
-# Busy workers are heard as often, so what they tell is never much younger.
-_LEAST_FRESH_S = 0.3
-# Even on a worker that takes several times as long a serving task is at work so
-# soon after it began, or never.
-_NEVER_WORKS_S = 8.0
+# Limit for steps that don't set one.
+_DEFAULT_MAX_UNAVAILABLE = 1
+_SERVING_PERCENT = 100
+# A worker drops an answer that arrives later than 1 s after its heartbeat.
+_ANSWER_TIMEOUT_S = 1.0
+# The end of a stopped run is reported with the next heartbeat, 0.05 s later.
+_END_REPORT_DELAY_S = 0.1
+# Busy workers send heartbeats about this often, so reports are rarely younger.
+_MIN_REPORT_AGE_S = 0.3
+# A serving task that does not serve this long after its start never will, even
+# on a worker that is several times slower than others.
+_STARTUP_TIMEOUT_S = 8.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StopReview:
-    """Stops that were decided and are not told now.
+    """Stops that were decided but may not be sent now.
 
     Attributes
     ----------
     withheld
-        Told before, so their runs may be away, but not to be told again.
+        Runs whose stop was sent before, so that they may have ended; the stop
+        is not repeated now.
     retracted
-        Never told, or not heard: their runs stay.
+        Runs whose stop was never sent, or did not reach the worker; they stay.
     """
 
     withheld: set[Run] = dataclasses.field(default_factory=set)
@@ -54,29 +55,29 @@
 
 
 def is_empty(incarnation: Incarnation, store: JobStore) -> bool:
-    """Whether nothing is on a worker, may be, or is about to be started.
+    """Whether a worker certainly has no run, and none is about to start.
 
-    Where it is not sure which incarnation goes on at a VM, another one may have
-    what this one lacks.
+    While it is uncertain which incarnation on a VM is alive, another one may
+    have runs that this one does not list.
     """
     held = store.held_by(incarnation.report.worker)
-    has_work = held or incarnation.running or incarnation.awaits_start
-    return incarnation.is_proven and not has_work
+    has_work = held or incarnation.running or incarnation.has_unrecorded_start
+    return incarnation.is_proven_alive and not has_work
 
 
-class MovingOut:
-    """Which serving runs may be stopped, for the leader of one term.
+class DisruptionBudget:
+    """Decides which serving runs may be stopped, for the leader of one term.
 
     Parameters
     ----------
     store
         The replicated state; it is only read.
     incarnations
-        The workers of now, by name.
+        The tracked workers, by name; the mapping is live.
     progress
-        Since when runs are listed.
+        Tells how long runs have been listed.
     settings
-        How long stops take, and from when on a task counts as away.
+        How long a stop takes, and when a task counts as unavailable.
     """
 
     def __init__(
@@ -86,26 +87,29 @@
         progress: ProgressWatch,
         settings: SchedulingSettings,
     ) -> None:
-        """Take over what earlier leaders started, and may have stopped."""
+        """Take over the runs that earlier leaders started or stopped."""
         self._store = store
         self._incarnations = incarnations
         self._progress = progress
-        # So long after a stop was told its run may be listed though it ends.
-        self._told_for_s = _ANSWER_LASTS_S + settings.stop_s + _TELLING_S
-        # A task that fell after it was last heard must not count as away yet
-        # when a stop that was decided by that arrives.
-        fresh_s = min(SILENT_S, settings.notice_s - _ANSWER_LASTS_S)
-        self._fresh_s = max(fresh_s, _LEAST_FRESH_S)
-        # Stops that were put into an answer, which may have arrived, and when.
-        self._told_s: dict[Run, float] = {}
-        self._inherited: frozenset[Run] = frozenset(
+        # How long a run may still be listed after its stop was sent.
+        self._stop_settles_s = (
+            _ANSWER_TIMEOUT_S + settings.stop_s + _END_REPORT_DELAY_S
+        )
+        # Greatest age of a heartbeat that shows a task as serving.  If the task
+        # failed right after it, a stop that relied on it must arrive before the
+        # failed task counts as unavailable.
+        fresh_s = min(SILENT_AFTER_S, settings.notice_s - _ANSWER_TIMEOUT_S)
+        self._max_report_age_s = max(fresh_s, _MIN_REPORT_AGE_S)
+        # When the stop of each run was last put into an answer.
+        self._stop_sent_s: dict[Run, float] = {}
+        self._inherited_runs: frozenset[Run] = frozenset(
             run
             for assigned in store.assigned.values()
             for run in assigned.items()
             if store.is_serving(run[0])
         )
 
-    def movable_now(
+    def stoppable_now(
         self,
         incarnation: Incarnation,
         stopping: Iterable[Run],
@@ -113,20 +117,20 @@
     ) -> list[Run]:
         """Return the serving runs that may be stopped on a worker now.
 
-        Of each step one at most is returned, so that what is away is counted
-        anew before the next.
+        At most one run of each step is returned, so that the unavailable tasks
+        are counted again before the next.
 
         Parameters
         ----------
         incarnation
             The worker.
         stopping
-            What is being stopped already.
+            Runs that are being stopped already.
         now_s
             Clock in seconds.
         """
         if incarnation.is_silent(now_s):
-            # Until it is heard and told, others may have gone.
+            # Other tasks may become unavailable before it is heard again.
             return []
         leaving = frozenset(stopping)
         steps: set[tuple[str, int, int]] = set()
@@ -138,7 +142,9 @@
             if job is None or run in leaving or step in steps:
                 continue
             spec = job.step_spec(key)
-            if spec.is_service and self._may_go(key, job, spec, leaving, now_s):
+            if spec.is_service and self._is_within_budget(
+                key, job, spec, leaving, now_s
+            ):
                 steps.add(step)
                 chosen.append(run)
         return chosen
@@ -149,17 +155,17 @@
         stopping: Collection[Run],
         now_s: float,
     ) -> StopReview:
-        """Return the stops that a worker is not to be told, or not again.
+        """Return the decided stops that must not be sent to a worker now.
 
-        They were right when they were decided; its answer is due only now, and
-        others of their steps have gone meanwhile.
+        They were within the limit when they were decided.  Other tasks of their
+        steps may have become unavailable before the answer is sent.
 
         Parameters
         ----------
         incarnation
             The worker, whose answer is about to be sent.
         stopping
-            What is being stopped.
+            Runs that are being stopped.
         now_s
             Clock in seconds.
         """
@@ -169,8 +175,8 @@
             if run not in stopping:
                 continue
             if self.may_stop(run, incarnation, stopping, now_s):
-                self._told_s[run] = now_s
-            elif self._was_told(run, incarnation):
+                self._stop_sent_s[run] = now_s
+            elif self._may_have_stopped(run, incarnation):
                 found.withheld.add(run)
             else:
                 found.retracted.add(run)
@@ -183,14 +189,14 @@
         stopping: Collection[Run],
         now_s: float,
     ) -> bool:
-        """Whether a run may be stopped, for all that is away of its step.
+        """Whether stopping a run keeps its step within its limit.
 
         Parameters
         ----------
         run, incarnation
             A run, and its worker.
         stopping
-            What is being stopped.
+            Runs that are being stopped.
         now_s
             Clock in seconds.
         """
@@ -199,37 +205,37 @@
         spec = self._store.spec_of(key)
         if job is None or spec is None or not spec.is_service:
             return True
-        if not self._may_be_at_work(run, incarnation):
+        if not self._may_be_serving(run, incarnation):
             return True
-        return self._may_go(key, job, spec, stopping, now_s)
+        return self._is_within_budget(key, job, spec, stopping, now_s)
 
-    def keep_only(self, held: Set[Run]) -> None:
-        """Drop the runs that are over."""
-        for run in self._told_s.keys() - held:
-            self._told_s.pop(run)
+    def retain_only(self, held: Set[Run]) -> None:
+        """Drop the runs that are not assigned any more."""
+        for run in self._stop_sent_s.keys() - held:
+            self._stop_sent_s.pop(run)
 
-    def _was_told(self, run: Run, incarnation: Incarnation) -> bool:
-        """Whether a worker may have carried a stop out.
+    def _may_have_stopped(self, run: Run, incarnation: Incarnation) -> bool:
+        """Whether a worker may have carried out a stop.
 
-        One that lists the run long after was not reached by the answer.
+        If it lists the run long after the answer, the answer did not reach it.
         """
-        told_s = self._told_s.get(run, float('-inf'))
-        return incarnation.heard_s - told_s < self._told_for_s
+        told_s = self._stop_sent_s.get(run, float('-inf'))
+        return incarnation.heard_s - told_s < self._stop_settles_s
 
-    def _may_be_at_work(self, run: Run, incarnation: Incarnation) -> bool:
-        """Whether a run serves somebody by now, or may when it is stopped.
+    def _may_be_serving(self, run: Run, incarnation: Incarnation) -> bool:
+        """Whether a run serves requests, or may do so when it is stopped.
 
-        One that was about to may do so since it was told of; one that did not
-        for so long will not.
+        A run that was about to serve may do so by now, unless it has not done
+        so within the startup timeout.
         """
         if not _is_listed(incarnation, run):
             return False
-        if _lists_at_work(incarnation, run):
+        if _is_listed_serving(incarnation, run):
             return True
         worked_s = self._progress.worked_s(run, incarnation.heard_s)
-        return worked_s < _NEVER_WORKS_S
+        return worked_s < _STARTUP_TIMEOUT_S
 
-    def _may_go(
+    def _is_within_budget(
         self,
         key: TaskKey,
         job: JobRecord,
@@ -237,15 +243,17 @@
         leaving: Container[Run],
         now_s: float,
     ) -> bool:
-        may_miss = _DEFAULT_MAY_MISS if spec.may_miss is None else spec.may_miss
+        may_miss = (
+            _DEFAULT_MAX_UNAVAILABLE if spec.may_miss is None else spec.may_miss
+        )
         away = sum(
-            not self._is_at_work(other, job, leaving, now_s)
+            not self._is_serving(other, job, leaving, now_s)
             for other in job.step_keys(key)
             if other != key
         )
         return away < may_miss
 
-    def _is_at_work(
+    def _is_serving(
         self,
         key: TaskKey,
         job: JobRecord,
@@ -259,28 +267,29 @@
         incarnation = self._incarnations.get(task.worker)
         if incarnation is None or run in leaving:
             return False
-        # What a silent worker told last may be over: its lease, by a stop that
-        # was ordered, or all that ran there.
-        is_doubtful = now_s - incarnation.sent_s > self._fresh_s or (
-            run in self._inherited and not self._is_proven(incarnation)
+        # The runs that a silent worker listed last may have ended: by its
+        # lease, by a stop, or with the worker.
+        is_doubtful = now_s - incarnation.sent_s > self._max_report_age_s or (
+            run in self._inherited_runs and not self._has_settled(incarnation)
         )
-        return not is_doubtful and _lists_at_work(incarnation, run)
+        return not is_doubtful and _is_listed_serving(incarnation, run)
 
-    def _is_proven(self, incarnation: Incarnation) -> bool:
-        """Whether a stop by an earlier leader would have been told by now.
+    def _has_settled(self, incarnation: Incarnation) -> bool:
+        """Whether the effect of an earlier leader's stop would show by now.
 
-        It may have answered the first heartbeat that was heard here.
+        The earlier leader may have answered the first heartbeat that this one
+        received.
         """
         heard_for_s = incarnation.heard_s - incarnation.first_heard_s
-        return heard_for_s >= self._told_for_s
+        return heard_for_s >= self._stop_settles_s
 
 
 def _is_listed(incarnation: Incarnation, run: Run) -> bool:
     return any((row.task, row.run) == run for row in incarnation.running)
 
 
-def _lists_at_work(incarnation: Incarnation, run: Run) -> bool:
+def _is_listed_serving(incarnation: Incarnation, run: Run) -> bool:
     return any(
-        (row.task, row.run) == run and row.percent >= _AT_WORK_PERCENT
+        (row.task, row.run) == run and row.percent >= _SERVING_PERCENT
         for row in incarnation.running
     )
--- a/src/wigeonreach/scheduling/_notes.py
+++ b/src/wigeonreach/scheduling/_notes.py
@@ -1,4 +1,4 @@
-"""Describe why the leader's view of a worker or job changed."""
+"""Describe why the leader's view of a worker, VM or job changed."""
 
 from __future__ import annotations
 
@@ -13,10 +13,12 @@
 
     Attributes
     ----------
+    event
+        The log event.
     subject
-        What it is about: a worker, a VM or a job.
+        The worker, VM or job that it concerns.
     reason
-        What decided it, with its age or figure.
+        The cause, with its age or figure.
     """
 
     event: LogEvent
--- a/src/wigeonreach/scheduling/_orders.py
+++ b/src/wigeonreach/scheduling/_orders.py
@@ -1,4 +1,4 @@
-"""Answer a heartbeat: what to start, stop and slow down."""
+"""Build the orders in the answer to a heartbeat: starts, stops and paces."""
 
 from __future__ import annotations
 
@@ -19,25 +19,26 @@
 )
 from wigeonreach.workspaces import NO_AMOUNTS
 
-# An end makes a worker send at once; a start waits for the next heartbeat.
-# A quarter of a second is a small part of the shortest objective (3 s), and
-# 4 heartbeats a second from 40 workers take about a tenth of a core.
-BUSY_NEXT_MS = 250
-# Where the answer was held back until there was something to order.
-HELD_NEXT_MS = 20
-# A sender gives an answer up after 1 s; this leaves it the way back.
-_LONGEST_HOLD_S = 0.7
+# Heartbeat interval of busy workers.  A worker reports an end at once, while a
+# start waits for the next heartbeat.  A quarter of a second is a small part of
+# the shortest objective (3 s), and 4 heartbeats a second from 40 workers take
+# about a tenth of a core.
+BUSY_INTERVAL_MS = 250
+# Interval after an answer that was held back until there were orders.
+HELD_INTERVAL_MS = 20
+# A heartbeat times out after 1 s; the rest is left for the way back.
+_MAX_HOLD_S = 0.7
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Tickets:
-    """The tickets that are valid at a time."""
+class ValidTickets:
+    """The tickets of a cache that are valid at one time."""
 
     cache: TicketCache
     now_s: float
 
     def of(self, key: TaskKey, worker: str) -> str:
-        """Return the ticket for a task on a worker, or nothing."""
+        """Return the ticket for a task on a worker, or an empty text."""
         return self.cache.ticket(key, worker, self.now_s)
 
 
@@ -46,14 +47,14 @@
     store: JobStore,
     pacing: Pacing,
     stopping: Collection[Run],
-    tickets: Tickets,
+    tickets: ValidTickets,
     term: int,
 ) -> WorkerOrders:
-    """Return the orders that a worker is owed, by its newest heartbeat.
+    """Return the orders for a worker, given its newest heartbeat.
 
-    A start that the heartbeat does not list was lost on its way, and is
-    ordered again: a worker has one heartbeat under way at a time, and drops
-    answers that come too late.
+    A start that the heartbeat does not list was lost and is ordered again.
+    This is safe as a worker has only one heartbeat in flight at a time, and
+    drops answers that arrive too late.
     """
     worker = incarnation.report.worker
     held = store.held_by(worker)
@@ -67,35 +68,35 @@
     )
 
 
-def answer_due(
+def answer_if_due(
     orders: WorkerOrders,
     has_batch: bool,
     needs_lease: bool,
     waited_s: float,
 ) -> WorkerOrders | None:
-    """Return the answer to a heartbeat, or None to hold it until there is more.
+    """Return the answer to a heartbeat, or None to hold it back for now.
 
     Parameters
     ----------
     orders
-        What the worker is owed now.
+        The orders for the worker.
     has_batch
-        Whether work that ends by itself is on it.
+        Whether the worker has batch runs.
     needs_lease
-        Whether its lease may be over soon.
+        Whether its lease may expire soon.
     waited_s
-        For how long its heartbeat has waited.
+        How long its heartbeat has been waiting.
     """
     has_orders = bool(orders.starts or orders.stops or orders.paces)
     if has_orders or has_batch:
-        return msgspec.structs.replace(orders, next_after_ms=BUSY_NEXT_MS)
-    if waited_s < _LONGEST_HOLD_S and not needs_lease:
+        return msgspec.structs.replace(orders, next_after_ms=BUSY_INTERVAL_MS)
+    if waited_s < _MAX_HOLD_S and not needs_lease:
         return None
-    return msgspec.structs.replace(orders, next_after_ms=HELD_NEXT_MS)
+    return msgspec.structs.replace(orders, next_after_ms=HELD_INTERVAL_MS)
 
 
-def not_begun(incarnation: Incarnation, store: JobStore) -> Iterator[Run]:
-    """Yield the runs that a worker was given and does not list."""
+def unlisted_runs(incarnation: Incarnation, store: JobStore) -> Iterator[Run]:
+    """Yield the assigned runs of a worker that it does not list."""
     listed = {(row.task, row.run) for row in incarnation.running}
     listed.update((ended.task, ended.run) for ended in incarnation.report.ended)
     for run in store.held_by(incarnation.report.worker).items():
@@ -103,18 +104,21 @@
             yield run
 
 
-def over_room(incarnation: Incarnation, store: JobStore) -> Iterator[Run]:
-    """Yield the runs that were given to a worker and don't fit any more.
+def runs_over_capacity(
+    incarnation: Incarnation, store: JobStore
+) -> Iterator[Run]:
+    """Yield the unlisted runs of a worker that exceed its resources.
 
-    A worker may say of itself that it has less than before.  One that doesn't
-    guard its room would begin them all the same, and spoil what runs there.
+    A worker may report fewer resources than before.  If it does not enforce
+    them itself, it would start these runs all the same and disturb its other
+    runs.
     """
     left = incarnation.room
     for row in incarnation.running:
         spec = store.spec_of(row.task)
         if spec is not None:
             left -= spec.room
-    for run in not_begun(incarnation, store):
+    for run in unlisted_runs(incarnation, store):
         asked = store.spec_of(run[0])
         if asked is None:
             continue
@@ -125,10 +129,10 @@
 
 
 def is_over_cap(key: TaskKey, store: JobStore) -> bool:
-    """Whether a run that is not begun takes its workspace over its cap.
+    """Whether a run that has not begun would exceed its workspace's cap.
 
-    A cap may be lowered between the record of a start and its order.  Of a gang
-    the members that have begun are stopped then.
+    A cap may be lowered between the record of a start and its order.  The
+    members of a gang that have begun are stopped in that case.
     """
     job = store.job_of(key)
     spec = store.spec_of(key)
@@ -137,36 +141,36 @@
     return not store.is_under_cap(job, spec, NO_AMOUNTS - spec.least_start)
 
 
-def why_stopped(run: Run, incarnation: Incarnation, store: JobStore) -> str:
-    """Return why a worker is told to stop a run, for people."""
+def stop_reason(run: Run, incarnation: Incarnation, store: JobStore) -> str:
+    """Return why a worker is told to stop a run, as a text for the log."""
     key, number = run
     job = store.job_of(key)
     if job is None:
-        return 'its job is not known'
+        return 'its job is unknown'
     if not job.is_active:
         return f'its job is {job.phase.name.lower()}'
     if store.held_by(incarnation.report.worker).get(key) != number:
-        return 'it was given up, or another run took its place'
+        return 'it was given up or replaced by another run'
     if incarnation.report.is_draining:
-        return 'its worker drains'
-    return 'its VM is wanted, or it makes no progress'
+        return 'its worker is draining'
+    return 'its VM is needed, or it makes no progress'
 
 
 def _starts(
     incarnation: Incarnation,
     store: JobStore,
     stopping: Collection[Run],
-    tickets: Tickets,
+    tickets: ValidTickets,
 ) -> Iterator[StartOrder]:
     if incarnation.report.is_draining:
         return
-    for key, run in not_begun(incarnation, store):
+    for key, run in unlisted_runs(incarnation, store):
         job = store.job_of(key)
         if job is None or (key, run) in stopping or is_over_cap(key, store):
             continue
         ticket = tickets.of(key, incarnation.report.worker)
         if _may_start(job, incarnation, store, ticket):
-            yield _start(job, key, run, ticket)
+            yield _start_order(job, key, run, ticket)
 
 
 def _may_start(
@@ -180,7 +184,7 @@
     return job.is_active and is_here and is_advised
 
 
-def _start(
+def _start_order(
     job: JobRecord,
     key: TaskKey,
     run: int,
--- a/src/wigeonreach/scheduling/_quarantine.py
+++ b/src/wigeonreach/scheduling/_quarantine.py
@@ -1,55 +1,58 @@
-"""Quarantine workers that fail what others can do.
+"""Quarantine workers on which runs keep failing.
 
-Answers the pattern of a worker that fails all that it starts: each failure
-costs a job one of its few tries, so a worker gets nothing for a while after a
-few failures in a row.
+A broken worker may fail every run that it starts, and each failure costs a job
+one of its few attempts.  After a few failures in a row a worker therefore gets
+no new work for a while.
 """
 
 from __future__ import annotations
 
 import dataclasses
 
-# Failures in a row of different jobs.  A sound worker fails up to three tasks
-# in a hundred, so two in a row come about once in a thousand tasks.
-_FAILURES_IN_ROW = 2
-# A few times a task's length; each further quarantine lasts twice as long.
-_FIRST_S = 2.0
-_LONGEST_S = 16.0
-# Of the workers of a service; with more it is not the workers' fault.
-_MOST_RATIO = 0.34
+# Failures in a row, of different jobs.  A healthy worker fails up to three
+# tasks in a hundred, so two in a row happen about once in a thousand tasks.
+_FAILURE_THRESHOLD = 2
+# A few times the length of a task; each further quarantine lasts twice as long.
+_FIRST_QUARANTINE_S = 2.0
+_MAX_QUARANTINE_S = 16.0
+# Greatest share of a service's workers; if more fail, the workers are not the
+# cause.
+_MAX_QUARANTINED_RATIO = 0.34
 
 
 @dataclasses.dataclass(slots=True)
-class _Score:
+class _FailureRecord:
     failed_jobs: set[str] = dataclasses.field(default_factory=set)
-    next_s: float = _FIRST_S
+    next_duration_s: float = _FIRST_QUARANTINE_S
     until_s: float = 0.0
 
 
 class WorkerQuarantine:
-    """Which workers get nothing for a while, by the ends of their runs."""
+    """Tracks failures by worker, and which workers are quarantined for them."""
 
     def __init__(self) -> None:
-        """Trust everybody."""
-        self._scores: dict[str, _Score] = {}
+        """Start without any failure."""
+        self._records: dict[str, _FailureRecord] = {}
 
     @property
     def suspects(self) -> set[str]:
-        """Workers whose last runs failed or stood still."""
-        return set(self._scores)
+        """Workers whose last runs failed or stalled."""
+        return set(self._records)
 
     def note_done(self, worker: str) -> None:
-        """Take note that a run ended well."""
-        self._scores.pop(worker, None)
+        """Record that a run succeeded, which clears its worker's failures."""
+        self._records.pop(worker, None)
 
     def note_failed(self, worker: str, job_id: str, now_s: float) -> bool:
-        """Take note of a failed run; tell if it quarantines its worker."""
-        score = self._scores.setdefault(worker, _Score())
+        """Record a failed run; return whether its worker is quarantined now."""
+        score = self._records.setdefault(worker, _FailureRecord())
         score.failed_jobs.add(job_id)
-        if len(score.failed_jobs) < _FAILURES_IN_ROW:
+        if len(score.failed_jobs) < _FAILURE_THRESHOLD:
             return False
-        score.until_s = now_s + score.next_s
-        score.next_s = min(score.next_s * 2, _LONGEST_S)
+        score.until_s = now_s + score.next_duration_s
+        score.next_duration_s = min(
+            score.next_duration_s * 2, _MAX_QUARANTINE_S
+        )
         score.failed_jobs.clear()
         return True
 
@@ -58,12 +61,12 @@
         quarantined = [
             worker
             for worker in workers
-            if worker in self._scores and self._scores[worker].until_s > now_s
+            if worker in self._records and self._records[worker].until_s > now_s
         ]
-        allowed = int(len(workers) * _MOST_RATIO)
-        quarantined.sort(key=lambda worker: -self._scores[worker].until_s)
+        allowed = int(len(workers) * _MAX_QUARANTINED_RATIO)
+        quarantined.sort(key=lambda worker: -self._records[worker].until_s)
         return set(quarantined[:allowed])
 
     def forget(self, worker: str) -> None:
-        """Drop what is known of a dead worker."""
-        self._scores.pop(worker, None)
+        """Drop the record of a worker that has ended."""
+        self._records.pop(worker, None)
--- a/src/wigeonreach/scheduling/_scheduler.py
+++ b/src/wigeonreach/scheduling/_scheduler.py
@@ -1,4 +1,4 @@
-"""Decide, as the leader of one term, what runs on which worker."""
+"""Decide, for the leader of one term, which task runs on which worker."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 )
 from wigeonreach.observe import LogEvent
 from wigeonreach.scheduling._advice import TicketCache
-from wigeonreach.scheduling._answers import Answers
-from wigeonreach.scheduling._ends import EndsOfRuns
+from wigeonreach.scheduling._answers import HeartbeatAnswers
+from wigeonreach.scheduling._ends import RunEnds
 from wigeonreach.scheduling._incarnation import Heard, Incarnation, room_of
 from wigeonreach.scheduling._lost_runs import LostRuns
 from wigeonreach.scheduling._maintenance import Maintenance
-from wigeonreach.scheduling._moving_out import MovingOut
+from wigeonreach.scheduling._moving_out import DisruptionBudget
 from wigeonreach.scheduling._notes import Note
 from wigeonreach.scheduling._open_rooms import OpenRooms, PoolRooms
 from wigeonreach.scheduling._pacing import Pacing
@@ -36,27 +36,28 @@
 
 
 class Scheduler:
-    """What the leader of a term knows beside the replicated state.
+    """The scheduling decisions and unreplicated state of one leader.
 
     Parameters
     ----------
     store
         The replicated state; it is only read.
     term
-        Of this leader.
+        Term of this leader.
     now_s
         When the term began, on a clock that also counts suspended time.
     settings
-        What is known of the platform.
+        Properties of the platform.
     wall_ms
-        The time of day then, by which the age of older jobs is known.
+        Time of day when the term began, from which the age of older jobs is
+        derived.
 
     Attributes
     ----------
     answers
-        What workers are told.
+        Builds the answers to heartbeats.
     notes
-        Changes of belief that nobody logged yet.
+        Notes that are not logged yet.
     """
 
     def __init__(
@@ -67,14 +68,14 @@
         settings: SchedulingSettings = _DEFAULTS,
         wall_ms: float = 0,
     ) -> None:
-        """Know no worker yet."""
+        """Start without any worker."""
         self.term = term
         self.workers = Workers(now_s)
         self.pacing = Pacing()
         self.progress = ProgressWatch()
         self.advice = TicketCache()
         self.notes: list[Note] = []
-        self.moving_out = MovingOut(
+        self.disruption_budget = DisruptionBudget(
             store,
             self.workers.incarnations,
             self.progress,
@@ -83,7 +84,7 @@
         self.maintenance = Maintenance(
             store,
             self.workers,
-            self.moving_out,
+            self.disruption_budget,
             settings.maintained_s,
         )
         self.pools = PoolPlanner(store, self.workers, settings, now_s)
@@ -92,18 +93,18 @@
             store,
             self.pacing,
             self.progress,
-            self.moving_out,
+            self.disruption_budget,
             self.stopping,
             self.notes,
         )
         self.quarantine = self._stops.quarantine
-        self._ends = EndsOfRuns(store, self.advice, self.stopping)
-        self.answers = Answers(
+        self._ends = RunEnds(store, self.advice, self.stopping)
+        self.answers = HeartbeatAnswers(
             store,
             term,
             self.pacing,
             self.advice,
-            self.moving_out,
+            self.disruption_budget,
             self.stopping,
             self.notes,
         )
@@ -120,8 +121,9 @@
             self.crashes,
             now_s,
         )
-        # VMs that serving tasks without room fill, by service and label.
-        self._homeless: dict[str, dict[str, float]] = {}
+        # Number of VMs that unplaced serving tasks would fill, by service and
+        # label.
+        self._unplaced_vms: dict[str, dict[str, float]] = {}
         self._store = store
         store.changed.update(store.jobs)
         self.ready.refresh(store, now_s, wall_ms)
@@ -131,7 +133,7 @@
         report: WorkerReport,
         now_s: float,
     ) -> Heard | None:
-        """Take a heartbeat; return None if it counts no more."""
+        """Apply a heartbeat; return None if it is outdated or foreign."""
         if self.is_foreign(report):
             return None
         known = self.workers.incarnations.get(report.worker)
@@ -140,14 +142,14 @@
         if incarnation is None:
             return None
         if before is not None and before.sequence == report.sequence:
-            # What it tells is taken in, but may not be recorded yet.
+            # The repeat is already applied, but its ends may not be recorded.
             return Heard(incarnation, tuple(self._ends.told(incarnation)))
         self._rooms.forget(report.worker)
         self.crashes.note_heard(incarnation)
         self.caps.strays.note_heard(incarnation)
-        self._note_changes(incarnation, before, now_s)
+        self._note_report_changes(incarnation, before, now_s)
         paced = self.pacing.note(incarnation, self._store)
-        self._note(LogEvent.WORKER_PACED, incarnation, paced)
+        self._add_note(LogEvent.WORKER_PACED, incarnation, paced)
         ends = (
             *self._ends.told(incarnation),
             *self._ends.withdrawn(incarnation),
@@ -157,46 +159,47 @@
             self.answers.forget_run((ended.task, ended.run))
         stalled = self._stops.stop_stalled(incarnation, now_s)
         if report.is_draining:
-            self._move_out(incarnation, now_s)
+            self._stop_serving_runs(incarnation, now_s)
         return Heard(incarnation, ends, stalled)
 
-    def _note_changes(
+    def _note_report_changes(
         self,
         incarnation: Incarnation,
         before: WorkerReport | None,
         now_s: float,
     ) -> None:
-        """Tell what a worker says of itself that it did not say before."""
+        """Add notes for changes that a worker reports of itself."""
         report = incarnation.report
         if before is None and incarnation.first_heard_s < now_s:
-            gone = 'heard again after its lease was over'
-            self._note(LogEvent.WORKER_RETURNED, incarnation, gone)
+            gone = 'heard again after its lease expired'
+            self._add_note(LogEvent.WORKER_RETURNED, incarnation, gone)
         if report.is_draining and not (before and before.is_draining):
             left = f'has {report.drain_left_ms} ms left'
-            self._note(LogEvent.WORKER_DRAINING, incarnation, left)
+            self._add_note(LogEvent.WORKER_DRAINING, incarnation, left)
         if before is not None and room_of(before) != incarnation.room:
             has = f'has {incarnation.room}, had {room_of(before)}'
-            self._note(LogEvent.WORKER_RESIZED, incarnation, has)
+            self._add_note(LogEvent.WORKER_RESIZED, incarnation, has)
 
     def is_foreign(self, report: WorkerReport) -> bool:
-        """Whether a heartbeat can't be of a worker that is known here.
+        """Whether a heartbeat can't come from a worker of this fleet.
 
-        It names a service that the manifest does not, though nothing runs
-        under its name, or another service than before: an incarnation stays
-        with its service.  Or it does not tell its start, as others of its id do.
+        This is so if its service is not in the manifest and no run is assigned
+        to its worker, if its service differs from the one before, as an
+        incarnation never changes its service, or if it lacks the start time
+        that other heartbeats of its id include.
         """
         known = self.workers.incarnations.get(report.worker)
         if known is not None:
             return report.service != known.report.service
-        if self.workers.lives.is_nameless(report):
+        if self.workers.by_vm.lacks_start_time(report):
             return True
         is_named = self._store.names_service(report.service)
         return not is_named and not self._store.held_by(report.worker)
 
     def lost(self, now_s: float) -> tuple[RunEnded, ...]:
-        """Return the runs of workers that are over, to be reassigned."""
+        """Return the runs of lost workers, which are to be reassigned."""
         ended = self.workers.ended(now_s)
-        lost = self._lost_runs.of_ended(ended, now_s)
+        lost = self._lost_runs.of_ended_workers(ended, now_s)
         for worker, ending in ended.items():
             note = Note(LogEvent.WORKER_ENDED, worker, ending.reason)
             self.notes.append(note)
@@ -205,27 +208,27 @@
             self._rooms.forget(worker)
             self.caps.strays.forget(worker)
             self.progress.forget(worker, self._store.held_by(worker))
-        self._forget_stopped()
+        self._drop_ended_stops()
         for run_lost in lost:
             self._stops.stop_gang(run_lost.task)
             self.answers.forget_run((run_lost.task, run_lost.run))
-        doubled = self._lost_runs.doubled(now_s)
+        doubled = self._lost_runs.to_be_copied(now_s)
         for run_doubled in doubled:
             self.progress.forget_run((run_doubled.task, run_doubled.run))
             self.caps.strays.note_copied(run_doubled.worker, run_doubled.task)
         return (*lost, *doubled)
 
     def crashed(self, now_s: float) -> tuple[RunCrashed, ...]:
-        """Return the crashes to be recorded; the same until they are."""
-        found = self.crashes.found(now_s)
+        """Return the crashes to record; they repeat until they are recorded."""
+        found = self.crashes.unrecorded(now_s)
         self.notes.extend(self.crashes.notes)
         self.crashes.notes.clear()
         return found
 
     def plan(self, now_s: float, wall_ms: float) -> tuple[RunStarted, ...]:
-        """Return what is to be started now."""
+        """Return the runs to start now."""
         steps = self._steps_due(now_s, wall_ms)
-        self._homeless = {}
+        self._unplaced_vms = {}
         if not steps:
             return ()
         needed = {self._store.service_of(step.job) for step in steps}
@@ -246,24 +249,24 @@
         self.notes.extend(self.caps.note_plan(cap_plan))
         made = plan.make_room(self.stopping, self.pools.vms.room)
         self.stopping.update(made.stops)
-        self._homeless = made.homeless
+        self._unplaced_vms = made.homeless
         for start in plan.starts:
-            # Whether it will be recorded is not known yet.
+            # It is not certain yet that the start will be recorded.
             self._rooms.forget(start.worker)
-            self.workers.incarnations[start.worker].given.add(
+            self.workers.incarnations[start.worker].unlisted_starts.add(
                 (start.task, start.run),
             )
         self.workers.note_starting({start.worker for start in plan.starts})
         return tuple(plan.starts)
 
     def _steps_due(self, now_s: float, wall_ms: float) -> list[ReadyStep]:
-        """Return the steps that may start, in their order."""
-        # What was decided before is recorded by now, or never will be.
+        """Return the steps that may start, in the order of placement."""
+        # Earlier starts are recorded by now, or never will be.
         self.workers.note_starting(())
         accepted = self.ready.refresh(self._store, now_s, wall_ms)
         for work in accepted:
             self.pools.note_accepted(work, now_s)
-        self._stops.move_laggards(self.workers.incarnations, now_s)
+        self._stops.stop_stragglers(self.workers.incarnations, now_s)
         steps = self.ready.in_order(
             now_s,
             wall_ms,
@@ -279,7 +282,7 @@
         now_s: float,
         held: Collection[str] = (),
     ) -> list[Move]:
-        """Return the VMs that are to go to another pool now.
+        """Return the VMs to move to another pool now.
 
         Parameters
         ----------
@@ -292,12 +295,12 @@
         return self.pools.step(
             self.caps.within(self.ready.work(now_s)),
             self.ready.serving(),
-            self._homeless,
+            self._unplaced_vms,
             taken,
             now_s,
         )
 
-    def _forget_stopped(self) -> None:
+    def _drop_ended_stops(self) -> None:
         if not self.stopping:
             return
         held = {
@@ -306,15 +309,19 @@
             for run in assigned.items()
         }
         self.stopping &= held
-        self.moving_out.keep_only(held)
+        self.disruption_budget.retain_only(held)
 
-    def _move_out(self, incarnation: Incarnation, now_s: float) -> None:
-        """Let serving tasks leave a worker that leaves."""
+    def _stop_serving_runs(
+        self, incarnation: Incarnation, now_s: float
+    ) -> None:
+        """Stop the serving runs of a draining worker, within their limits."""
         self.stopping.update(
-            self.moving_out.movable_now(incarnation, self.stopping, now_s),
+            self.disruption_budget.stoppable_now(
+                incarnation, self.stopping, now_s
+            ),
         )
 
-    def _note(
+    def _add_note(
         self, event: LogEvent, incarnation: Incarnation, reason: str
     ) -> None:
         if reason:
@@ -325,9 +332,9 @@
         now_s: float,
         services: Collection[str],
     ) -> PoolRooms:
-        """Return what is left on each worker of some services.
+        """Return the free resources on each worker of some services.
 
-        Workers that may take nothing now are left out.
+        Workers that accept no work now are left out.
         """
         cordoned = self.maintenance.cordoned | self.pools.cordoned
         return self._rooms.of(services, cordoned, self.stopping, now_s)
--- a/src/wigeonreach/scheduling/_settings.py
+++ b/src/wigeonreach/scheduling/_settings.py
@@ -1,4 +1,4 @@
-"""Settings of what decides."""
+"""Settings of the scheduler."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SchedulingSettings:
-    """What is known of the platform beforehand.
+    """Properties of the platform that the scheduler relies on.
 
     Attributes
     ----------
     move_s
-        How long a VM is away while it moves to another pool; a VM that only
-        changes its pool is not rebooted.
+        How long a VM is unavailable while it moves to another pool.  It is not
+        rebooted for that.
     far_factor
-        How much longer work takes away from its data, or on several racks.
+        How much longer a task takes away from its data, or across racks.
     maintained_s
-        How long a VM is away for its maintenance.
+        How long a VM is unavailable during its maintenance.
     stop_s
-        How long a run may go on after it was told to stop.
+        How long a run may continue after its worker was told to stop it.
     notice_s
-        For how long a serving task is not at work before it counts as away,
+        How long a serving task may be down before it counts as unavailable,
         unless an order ended it.
     """
 
--- a/src/wigeonreach/scheduling/_stops.py
+++ b/src/wigeonreach/scheduling/_stops.py
@@ -1,4 +1,4 @@
-"""Stop runs that go wrong, and trust the workers less on which they did."""
+"""Stop stalled and straggling runs, and count them against their workers."""
 
 from __future__ import annotations
 
@@ -14,37 +14,37 @@
 )
 from wigeonreach.observe import LogEvent
 from wigeonreach.scheduling._incarnation import Incarnation
-from wigeonreach.scheduling._moving_out import MovingOut
+from wigeonreach.scheduling._moving_out import DisruptionBudget
 from wigeonreach.scheduling._notes import Note
 from wigeonreach.scheduling._pacing import Pacing
 from wigeonreach.scheduling._progress import ProgressWatch
 from wigeonreach.scheduling._quarantine import WorkerQuarantine
 from wigeonreach.scheduling._second_runs import laggards
 
-# Busy workers send a heartbeat as often.
-_LOOK_S = 0.25
+# Interval of the search for stragglers; busy workers send heartbeats as often.
+_STRAGGLER_CHECK_S = 0.25
 
 
 class RunStops:
-    """Runs that stand still, lag, or wait for a member that has ended.
+    """Stops runs that stall, straggle, or wait for a lost member of their gang.
 
     Parameters
     ----------
     store
         The replicated state; it is only read.
     pacing, progress
-        How fast runs may go, and how fast they do.
-    moving_out
-        Which serving runs may be stopped.
+        Pace limits of the workers, and the progress of the runs.
+    disruption_budget
+        Decides which serving runs may be stopped.
     stopping
-        Runs that are being stopped; more are put into it.
+        Runs that are being stopped; further runs are added to it.
     notes
-        Where changes of belief are put.
+        Receives the notes for the log.
 
     Attributes
     ----------
     quarantine
-        Which workers are not trusted, by what goes wrong on them.
+        Workers that get no new work because runs fail on them.
     """
 
     def __init__(
@@ -52,34 +52,34 @@
         store: JobStore,
         pacing: Pacing,
         progress: ProgressWatch,
-        moving_out: MovingOut,
+        disruption_budget: DisruptionBudget,
         stopping: set[Run],
         notes: list[Note],
     ) -> None:
-        """Stop nothing yet."""
+        """Start with an empty quarantine."""
         self._store = store
         self._pacing = pacing
         self._progress = progress
-        self._moving_out = moving_out
+        self._disruption_budget = disruption_budget
         self.quarantine = WorkerQuarantine()
         self._stopping = stopping
         self._notes = notes
-        self._next_look_s = float('-inf')
+        self._next_check_s = float('-inf')
 
     def note_end(self, ended: RunEnded, now_s: float) -> None:
-        """Take note of the end of a run."""
+        """Record the end of a run."""
         run = (ended.task, ended.run)
         self._stopping.discard(run)
         if ended.end is RunEnd.DONE:
             self.quarantine.note_done(ended.worker)
         elif ended.end is RunEnd.FAILED:
-            self._distrust(ended.worker, ended.task.job_id, now_s)
+            self._count_failure(ended.worker, ended.task.job_id, now_s)
         self._progress.forget_run(run)
         if ended.end is not RunEnd.DONE:
             self.stop_gang(ended.task)
 
     def stop_gang(self, key: TaskKey) -> None:
-        """Stop the members of a gang that would wait for one in vain."""
+        """Stop the other members of a gang, which would wait in vain."""
         job = self._store.job_of(key)
         spec = self._store.spec_of(key)
         if job is None or spec is None or not spec.is_gang:
@@ -96,13 +96,13 @@
         incarnation: Incarnation,
         now_s: float,
     ) -> tuple[Run, ...]:
-        """Stop runs without progress, and trust their worker less."""
+        """Stop a worker's runs without progress and count them as failures."""
         worker = incarnation.report.worker
         pace = self._pacing.pace(worker)
         still = self._progress.note(incarnation, self._store, pace, now_s)
         stalled: list[Run] = []
         for run in still:
-            if run in self._stopping or not self._moving_out.may_stop(
+            if run in self._stopping or not self._disruption_budget.may_stop(
                 run,
                 incarnation,
                 self._stopping,
@@ -110,19 +110,19 @@
             ):
                 continue
             self._stopping.add(run)
-            self._distrust(worker, run[0].job_id, now_s)
+            self._count_failure(worker, run[0].job_id, now_s)
             stalled.append(run)
         return tuple(stalled)
 
-    def move_laggards(
+    def stop_stragglers(
         self,
         incarnations: Mapping[str, Incarnation],
         now_s: float,
     ) -> None:
-        """Stop what slow workers would end later than others would."""
-        if now_s < self._next_look_s:
+        """Stop runs on slow workers that would end sooner elsewhere."""
+        if now_s < self._next_check_s:
             return
-        self._next_look_s = now_s + _LOOK_S
+        self._next_check_s = now_s + _STRAGGLER_CHECK_S
         for found in laggards(incarnations, self._progress, self._store, now_s):
             runs = set(found.runs) - self._stopping
             if runs:
@@ -131,7 +131,7 @@
                 why = f'{len(runs)} runs, {times}'
                 self._notes.append(Note(LogEvent.RUNS_MOVED, found.worker, why))
 
-    def _distrust(self, worker: str, job_id: str, now_s: float) -> None:
+    def _count_failure(self, worker: str, job_id: str, now_s: float) -> None:
         if self.quarantine.note_failed(worker, job_id, now_s):
             reason = 'failed or held up runs of several jobs in a row'
             note = Note(LogEvent.WORKER_QUARANTINED, worker, reason)
--- a/src/wigeonreach/scheduling/_suspects.py
+++ b/src/wigeonreach/scheduling/_suspects.py
@@ -1,4 +1,4 @@
-"""Tell which tasks may bring their workers down, at one moment."""
+"""Decide how tasks that may crash their workers are isolated."""
 
 from __future__ import annotations
 
@@ -9,20 +9,21 @@
 
 from wigeonreach.jobs import TaskKey, TaskRecord
 
-# With so many crashes and doubts a task waits until the doubts are settled, as
-# its next start may be one too many.
-_MOST_DOUBTS = 3
-# Of two crashes one may be chance; after them a task runs alone, so that the
-# next one tells, and takes nothing else with it.
+# A task with this many crashes, unsettled ones included, is not started until
+# its unexplained losses are settled, as another start may be one too many.
+_MAX_UNSETTLED_CRASHES = 3
+# One of two crashes may be a coincidence.  After two a task runs alone, so
+# that a third one is conclusive and affects nothing else.
 CRASHES_BEFORE_TRIAL = 2
-# It waits for a worker of its own for several times what most tasks take that are
-# on it, and for as long again for one without others that may be the cause.
-_ALONE_FOR_S = 8.0
-APART_FOR_S = 16.0
+# How long it waits for a worker of its own: several times as long as most
+# tasks on such a worker take.  It then waits as long again for a worker
+# without other suspects.
+_ALONE_S = 8.0
+ISOLATION_S = 16.0
 
 
 class Apart(enum.Enum):
-    """Beside what a task may not run."""
+    """The runs from which a task is isolated."""
 
     FROM_NOTHING = enum.auto()
     FROM_SUSPECTS = enum.auto()
@@ -31,41 +32,41 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Suspects:
-    """Tasks with crashes that count, or with losses that are not explained.
+    """Tasks with crashes or unexplained losses, at one moment.
 
     Attributes
     ----------
-    doubtful
-        In how many losses each task was that are not explained, but soon will.
+    unexplained_losses
+        Number of recent losses of each task that are not explained yet.
     lost_s
-        When each task was lost, if it was lately.
+        When each recently lost task was lost.
     began_s
-        When the term began, before which others may have been lost.
+        When the term began; other tasks may have been lost before.
     now_s
         Clock in seconds.
     """
 
-    doubtful: collections.Counter[TaskKey]
+    unexplained_losses: collections.Counter[TaskKey]
     lost_s: Mapping[TaskKey, float]
     began_s: float
     now_s: float
 
     @property
     def may_wait(self) -> bool:
-        """Whether any task may have to be kept apart now."""
-        return bool(self.lost_s) or self.now_s - self.began_s < APART_FOR_S
+        """Whether any task may have to be isolated now."""
+        return bool(self.lost_s) or self.now_s - self.began_s < ISOLATION_S
 
     def kept_apart(self, key: TaskKey, task: TaskRecord) -> Apart:
-        """Return from what a task has to be kept for now."""
+        """Return the isolation that a task needs now."""
         lost_for_s = self.now_s - self.lost_s.get(key, self.began_s)
         is_suspect = task.crash_count >= CRASHES_BEFORE_TRIAL
-        if not is_suspect or lost_for_s >= APART_FOR_S:
+        if not is_suspect or lost_for_s >= ISOLATION_S:
             return Apart.FROM_NOTHING
-        if lost_for_s < _ALONE_FOR_S:
+        if lost_for_s < _ALONE_S:
             return Apart.FROM_ALL
         return Apart.FROM_SUSPECTS
 
     def must_wait(self, key: TaskKey, task: TaskRecord) -> bool:
-        """Whether a task may not start before its losses are explained."""
-        is_settled = not self.doubtful[key]
-        return not is_settled and task.crash_count >= _MOST_DOUBTS
+        """Whether a task must not start before its losses are explained."""
+        is_settled = not self.unexplained_losses[key]
+        return not is_settled and task.crash_count >= _MAX_UNSETTLED_CRASHES
--- a/src/wigeonreach/scheduling/_vms.py
+++ b/src/wigeonreach/scheduling/_vms.py
@@ -1,4 +1,4 @@
-"""Define what the platform tells about VMs and does to them."""
+"""Define the platform's interface to VMs."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from typing import Protocol
 
 
-# From when an order is recorded until the platform has carried it out or not:
-# its leader is confirmed, and the call is given up after 2 s.
+# Time from the record of an order until its outcome is decided: the leader is
+# confirmed first, and the call to the platform times out after 2 s.
 ORDER_LASTS_S = 3.0
 
 
 class VmPhase(enum.StrEnum):
-    """What a VM does, as the platform sees it."""
+    """State of a VM, as the platform reports it."""
 
     UP = 'up'
     MOVING = 'moving'
@@ -23,16 +23,22 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class VmRecord:
-    """One VM.
+    """One VM in the platform's list.
 
     Attributes
     ----------
+    vm
+        The name of the VM.
     pool
         The service whose worker it runs.
+    phase
+        Its state.
+    zone, rack
+        Its location.
     worker
-        The incarnation of its worker, or nothing.
+        The worker on it, as the platform names it; empty if there is none.
     labels
-        What its worker carries, the rack among it.
+        The labels of its worker, including the rack.
     """
 
     vm: str
@@ -45,9 +51,10 @@
 
 
 class OrderResult(enum.StrEnum):
-    """What became of an order for a VM.
+    """Outcome of an order for a VM.
 
-    ``UNKNOWN`` may have been carried out; it is sent again.
+    An order with the outcome ``UNKNOWN`` may have been carried out; it is sent
+    again.
     """
 
     DONE = 'done'
@@ -58,10 +65,10 @@
 
 
 class VmApi(Protocol):
-    """What the platform does to VMs.
+    """The platform's operations on VMs.
 
-    Each order carries who gives it and under which fence, and ends all that
-    runs on the VM at once.
+    Each order includes its sender and a fence, and ends everything that runs on
+    the VM at once.
     """
 
     async def list_vms(self) -> tuple[VmRecord, ...] | None:
@@ -71,4 +78,4 @@
         """Maintain a VM for a wave."""
 
     async def move(self, vm: str, pool: str, fence: int) -> OrderResult:
-        """Give a VM to another pool."""
+        """Move a VM to another pool."""
--- a/src/wigeonreach/scheduling/_workers.py
+++ b/src/wigeonreach/scheduling/_workers.py
@@ -1,4 +1,4 @@
-"""Follow the incarnations of workers by their heartbeats and leases."""
+"""Track the incarnations of workers by their heartbeats and leases."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
     Incarnation,
     room_of,
 )
-from wigeonreach.scheduling._vm_lives import VmLives
+from wigeonreach.scheduling._vm_incarnations import VmIncarnations
 from wigeonreach.wire._worker_messages import WorkerReport, worker_id_of
 
-# A worker that says it ends has ended after this.
-_LEAVE_S = 0.5
-# Dead incarnations are remembered for longer than a heartbeat may be late.
-_FORGET_GONE_S = 120.0
+# A worker that announced its end has ended after this time.
+_SHUTDOWN_S = 0.5
+# Ended incarnations are remembered for longer than a heartbeat may be delayed.
+_GONE_RETENTION_S = 120.0
 
 
 class Workers:
-    """All incarnations heard of in this term.
+    """All incarnations heard in this term.
 
-    What is looked at in each cycle does not grow with the fleet: a lease is
-    looked at when it may be over, and a successor is looked for only on VMs
-    with several incarnations.
+    The cost of a cycle does not grow with the fleet: a lease is checked only
+    when it may have expired, and a successor is looked for only on VMs with
+    several incarnations.
 
     Parameters
     ----------
@@ -35,40 +35,41 @@
     Attributes
     ----------
     incarnations
-        Those that are followed, by name.
+        The tracked incarnations, by name.
     lives
         The same, by VM.
     """
 
     def __init__(self, now_s: float) -> None:
-        """Know no worker yet."""
+        """Start without any worker."""
         self.incarnations: dict[str, Incarnation] = {}
-        self.lives = VmLives()
+        self.by_vm = VmIncarnations()
         self._began_s = now_s
         self._gone_s: dict[str, float] = {}
-        # Those among the gone who were merely silent, and may return.
+        # Those of the ended incarnations that only fell silent, and may return.
         self._lapsed: dict[str, Incarnation] = {}
         self._leaving: set[str] = set()
         self._starting: frozenset[str] = frozenset()
-        # When a lease may be over, and whose.
+        # Heap of the times at which leases may expire, with their workers.
         self._leases: list[tuple[float, str]] = []
 
     def hear(self, report: WorkerReport, now_s: float) -> Incarnation | None:
-        """Take a heartbeat.
+        """Apply a heartbeat.
 
         Returns
         -------
         Incarnation or None
-            The incarnation; None if the heartbeat is late, or of a dead one.
-            Its newest heartbeat once more changes nothing: whoever passed it on
-            lost the answer, for which the worker still waits.
+            The incarnation; None if the heartbeat is out of order, or from an
+            ended incarnation.  A repeat of the newest heartbeat is accepted and
+            changes nothing: the process that forwarded it lost the answer, for
+            which the worker still waits.
         """
         if self.is_gone(report.worker):
-            return self._hear_gone(report, now_s)
+            return self._readmit(report, now_s)
         known = self.incarnations.get(report.worker)
         if known is None:
             known = Incarnation(report, now_s, now_s, room_of(report))
-            self.lives.doubt_rivals(known, now_s)
+            self.by_vm.mark_rivals_unproven(known, now_s)
             self._add(known)
             return known
         if report.sequence < known.report.sequence:
@@ -76,92 +77,95 @@
         if report.sequence == known.report.sequence:
             return known
         if report.vm != known.report.vm:
-            # The index goes by the VM that it names now.
+            # The index uses the VM that it reports now.
             self._remove(report.worker)
             known.report = report
             self._add(known)
-        known.take(report, now_s)
+        known.update(report, now_s)
         return known
 
     def leave(self, worker: str, now_s: float) -> None:
-        """Take note that a worker ends now.
+        """Record that a worker announced its end.
 
         Parameters
         ----------
         worker
-            The incarnation, or an id: who ends says before that it drains, so
-            an id may stand for the incarnation of it that does.  One that does
-            not has started again since, and the word of the former came late.
+            The incarnation, or a worker's id.  A worker drains before it ends,
+            so an id refers to its draining incarnation.  If none drains, the
+            worker has restarted since, and the message of the former one is
+            late.
         now_s
             Clock in seconds.
         """
-        known = self.incarnations.get(worker) or self._draining(worker)
+        known = self.incarnations.get(worker) or self._draining_incarnation(
+            worker
+        )
         if known is None:
             self._gone_s[worker] = now_s
-        elif known.leaves_at_s is None:
-            known.leaves_at_s = now_s + _LEAVE_S
+        elif known.ends_at_s is None:
+            known.ends_at_s = now_s + _SHUTDOWN_S
             self._leaving.add(known.report.worker)
 
     def note_starting(self, workers: Collection[str]) -> None:
-        """Take note on whom starts were decided that are not recorded yet.
+        """Record the workers with planned starts that are not committed yet.
 
-        Until they are, the replicated state shows nothing of them, and a VM
-        that looks empty would be ordered away under them.
+        Until then the replicated state does not show the starts, and a VM that
+        looks empty could be ordered although a run is about to start on it.
         """
         for before in self._starting & self.incarnations.keys():
-            self.incarnations[before].awaits_start = False
+            self.incarnations[before].has_unrecorded_start = False
         self._starting = frozenset(workers)
         for worker in self._starting:
-            self.incarnations[worker].awaits_start = True
+            self.incarnations[worker].has_unrecorded_start = True
 
     def note_ordered(self, worker: str, now_s: float) -> None:
-        """Take note that an order for its VM was confirmed.
+        """Record that an order for a worker's VM was confirmed.
 
-        It gets nothing new until it is heard a while later: a platform also
-        confirms orders that were carried out long before.
+        The worker gets no new work until it is heard a while later.  The
+        platform also confirms orders that it carried out long before.
         """
         known = self.incarnations.get(worker)
         if known is not None:
             known.ordered_s = now_s
 
     def ended(self, now_s: float) -> dict[str, EndedIncarnation]:
-        """Return which incarnations are over; remember them as dead."""
+        """Remove and return the incarnations that have ended."""
         over = {
             worker: EndedIncarnation(incarnation, reason)
-            for worker in self._suspects(now_s)
+            for worker in self._possibly_ended(now_s)
             if (incarnation := self.incarnations[worker])
-            and (reason := self._why_over(incarnation, now_s))
+            and (reason := self._end_reason(incarnation, now_s))
         }
         for worker, ending in over.items():
             incarnation = ending.incarnation
             self._remove(worker)
             self._gone_s[worker] = now_s
             is_silent = now_s >= incarnation.lease_over_s
-            if is_silent and incarnation.leaves_at_s is None:
+            if is_silent and incarnation.ends_at_s is None:
                 self._lapsed[worker] = incarnation
         self._forget_gone(now_s)
         return over
 
     def is_over(self, worker: str, now_s: float) -> bool:
-        """Whether nothing runs any more on a worker that isn't followed."""
+        """Whether an untracked worker has certainly no runs any more."""
         if worker in self.incarnations:
             return False
-        return self.is_gone(worker) or self.knows_all(now_s)
+        return self.is_gone(worker) or self.has_heard_all(now_s)
 
     def is_gone(self, worker: str) -> bool:
-        """Whether an incarnation was given up, or said that it ends."""
+        """Whether an incarnation was given up or announced its end."""
         return worker in self._gone_s
 
     def was_heard(self, worker: str) -> bool:
         """Whether a worker was heard, or ended, in this term."""
         return worker in self.incarnations or self.is_gone(worker)
 
-    def knows_all(self, now_s: float) -> bool:
-        """Whether nothing runs on any worker that was not heard in this term."""
+    def has_heard_all(self, now_s: float) -> bool:
+        """Whether every worker that may have runs was heard in this term."""
         return now_s >= self._began_s + LEASE_OVER_S
 
     def processors(self, now_s: float) -> dict[str, float]:
-        """Return the processors of each service that may take something."""
+        """Return the processors of workers that accept work, by service."""
         total: dict[str, float] = {}
         for incarnation in self.incarnations.values():
             if incarnation.may_take(now_s):
@@ -172,10 +176,10 @@
 
     def of_vm(self, vm: str) -> Incarnation | None:
         """Return the newest incarnation on a VM."""
-        return self.lives.newest(vm)
+        return self.by_vm.newest(vm)
 
-    def _draining(self, worker_id: str) -> Incarnation | None:
-        """Return the incarnation of a worker that drains, if one does."""
+    def _draining_incarnation(self, worker_id: str) -> Incarnation | None:
+        """Return the draining incarnation of a worker, if there is one."""
         return next(
             (
                 incarnation
@@ -186,21 +190,21 @@
             None,
         )
 
-    def _hear_gone(
+    def _readmit(
         self,
         report: WorkerReport,
         now_s: float,
     ) -> Incarnation | None:
-        """Take a worker back that was cut off for longer than its lease."""
+        """Track a worker again that was cut off for longer than its lease."""
         known = self._lapsed.get(report.worker)
         if known is None or report.sequence <= known.report.sequence:
             return None
-        if self.lives.is_known(report.vm):
+        if self.by_vm.is_known(report.vm):
             return None
         self._lapsed.pop(report.worker)
         self._gone_s.pop(report.worker)
-        known.take(report, now_s)
-        known.doubted_s = now_s
+        known.update(report, now_s)
+        known.unproven_since_s = now_s
         self._add(known)
         return known
 
@@ -209,15 +213,19 @@
         self.incarnations[report.worker] = incarnation
         lease = (incarnation.lease_over_s, report.worker)
         heapq.heappush(self._leases, lease)
-        self.lives.add(incarnation)
+        self.by_vm.add(incarnation)
 
     def _remove(self, worker: str) -> None:
-        self.lives.remove(self.incarnations.pop(worker))
+        self.by_vm.remove(self.incarnations.pop(worker))
         self._leaving.discard(worker)
 
-    def _suspects(self, now_s: float) -> set[str]:
-        """Return who may be over: by lease, on its word or by a successor."""
-        suspects = self._leaving.union(self.lives.sharing())
+    def _possibly_ended(self, now_s: float) -> set[str]:
+        """Return the incarnations whose end has to be checked now.
+
+        These are the ones whose lease may have expired, that announced their
+        end, or that share their VM with another one.
+        """
+        suspects = self._leaving.union(self.by_vm.on_shared_vms())
         while self._leases and self._leases[0][0] <= now_s:
             _, worker = heapq.heappop(self._leases)
             known = self.incarnations.get(worker)
@@ -228,21 +236,18 @@
                 heapq.heappush(self._leases, (known.lease_over_s, worker))
         return suspects
 
-    def _why_over(self, incarnation: Incarnation, now_s: float) -> str:
-        """Return why an incarnation is over, or nothing if it goes on."""
+    def _end_reason(self, incarnation: Incarnation, now_s: float) -> str:
+        """Return why an incarnation has ended; empty if it has not."""
         if now_s >= incarnation.lease_over_s:
-            return f'lease over, silent for {now_s - incarnation.heard_s:.2f} s'
-        if (
-            incarnation.leaves_at_s is not None
-            and now_s >= incarnation.leaves_at_s
-        ):
-            return 'said that it ends'
-        if self.lives.has_successor(incarnation):
-            return f'another incarnation goes on at {incarnation.report.vm}'
+            return f'lease expired, silent {now_s - incarnation.heard_s:.2f} s'
+        if incarnation.ends_at_s is not None and now_s >= incarnation.ends_at_s:
+            return 'announced its end'
+        if self.by_vm.has_successor(incarnation):
+            return f'another incarnation is alive on {incarnation.report.vm}'
         return ''
 
     def _forget_gone(self, now_s: float) -> None:
-        oldest_s = now_s - _FORGET_GONE_S
+        oldest_s = now_s - _GONE_RETENTION_S
         self._gone_s = {
             worker: gone_s
             for worker, gone_s in self._gone_s.items()
--- a/tests/builders_crashes.py
+++ b/tests/builders_crashes.py
@@ -1,4 +1,4 @@
-"""Build fleets whose workers go down under what they run."""
+"""Build fleets whose workers are crashed by some of their tasks."""
 
 from __future__ import annotations
 
@@ -10,51 +10,51 @@
 from wigeonreach.jobs import JobPhase, JobStore, Run, RunEnd, TaskKey
 from wigeonreach.standins import StandInWorker
 
-# After the third crash, two more starts could still be excused: what is known
-# of a crash comes seconds after it.
+# A task fails after its third crash.  Two more starts are tolerated, as
+# evidence of a crash arrives seconds after it.
 MOST_STARTS = 5
-# How long a worker is cut off, or a rack without power: longer than a lease.
-AWAY_S = 7.0
-# As long as workers were seen to be away after such a crash.
-BACK_AFTER_S = 3.2
+# How long a worker is cut off or a rack has no power; longer than a lease.
+OUTAGE_S = 7.0
+# Time from a crash until the VM has a new worker, as observed.
+RESTART_DELAY_S = 3.2
 _ROUND_S = 0.1
 _WHOLE_PERCENT = 100
 
 
 @dataclasses.dataclass(slots=True)
-class _Down:
-    """A worker that is away, and when its VM has another."""
+class _DownWorker:
+    """A worker that is down, and when its VM has a new one."""
 
     worker: StandInWorker
     back_s: float
 
 
 class CrashingFleet:
-    """Stand-in workers that crash with the tasks that are given to them.
+    """Stand-in workers that crash when they start certain tasks.
 
     Parameters
     ----------
     store
         The replicated state.
     workers
-        Who is there at the beginning.
+        The workers at the beginning.
     crashes
-        Tells of a task whether it brings each worker down that starts it.
+        Whether a task crashes each worker that starts it.
     work_s
-        How long each other task that ends takes.
+        How long every other batch task takes.
     back_after_s
-        How long a worker is away.
+        How long a worker is down.
     successor
-        Returns the next worker on the VM of one that was away.
+        Returns the next worker on the VM of one that was down.
 
     Attributes
     ----------
     lead
-        Who decides.
+        The leader.
     starts
-        On which workers each task was started.
+        Names of the workers on which each task was started.
     crashed
-        Under which workers that crashed each task was.
+        Names of the crashed workers that ran each task.
     """
 
     def __init__(
@@ -63,7 +63,7 @@
         workers: Iterable[StandInWorker],
         crashes: Callable[[TaskKey], bool],
         work_s: float = 0.5,
-        back_after_s: float = BACK_AFTER_S,
+        back_after_s: float = RESTART_DELAY_S,
         successor: Callable[[StandInWorker], StandInWorker] | None = None,
     ) -> None:
         """Begin with all workers up."""
@@ -75,23 +75,23 @@
         self._work_s = work_s
         self._back_after_s = back_after_s
         self._successor = successor or self._with_another_id
-        self._down: list[_Down] = []
-        self._lives = collections.Counter[str]()
-        self._begun: dict[tuple[Run, str], float] = {}
+        self._down: list[_DownWorker] = []
+        self._restarts = collections.Counter[str]()
+        self._begun_s: dict[tuple[Run, str], float] = {}
 
     @property
     def up(self) -> list[StandInWorker]:
-        """Return the workers that are there."""
+        """Return the workers that are up."""
         return list(self.lead.workers.values())
 
     def run(self, for_s: float) -> None:
-        """Let time pass."""
+        """Simulate some time."""
         until_s = self.lead.now_s + for_s
         while self.lead.now_s < until_s:
             self.round()
 
     def round(self) -> None:
-        """Let a tenth of a second pass."""
+        """Simulate a tenth of a second."""
         self._bring_back()
         self.lead.round(_ROUND_S)
         for worker in self.up:
@@ -102,17 +102,17 @@
         workers: Iterable[StandInWorker],
         back_after_s: float | None = None,
     ) -> None:
-        """Let workers crash for a cause of their own."""
+        """Crash workers, whatever they run."""
         for worker in list(workers):
             self.lead.workers.pop(worker.name)
             self._forget_begun(worker)
             after_s = back_after_s or self._back_after_s
-            self._down.append(_Down(worker, self.lead.now_s + after_s))
+            self._down.append(_DownWorker(worker, self.lead.now_s + after_s))
             for task, _ in worker.running:
                 self.crashed[task].append(worker.name)
 
     def change_leader(self) -> None:
-        """Let another process lead, which has heard nobody."""
+        """Replace the leader by one that has heard no worker yet."""
         term = self.lead.term + 1
         self.lead = FakeLead(self._store, self.up, term, self.lead.now_s)
 
@@ -125,10 +125,10 @@
             self.lead.workers[successor.name] = successor
 
     def _with_another_id(self, worker: StandInWorker) -> StandInWorker:
-        self._lives[worker.vm] += 1
+        self._restarts[worker.vm] += 1
         return dataclasses.replace(
             worker,
-            name=f'{worker.vm}-life{self._lives[worker.vm]}',
+            name=f'{worker.vm}-life{self._restarts[worker.vm]}',
             sequence=0,
             fence=0,
             running={},
@@ -145,26 +145,26 @@
         for ending in list(worker.running):
             if self._store.is_serving(ending[0]):
                 continue
-            worked_s = now_s - self._begun[ending, worker.name]
+            worked_s = now_s - self._begun_s[ending, worker.name]
             done = min(worked_s / self._work_s, 1.0)
             worker.advance_one(ending, int(done * _WHOLE_PERCENT))
             if done >= 1 and self._is_whole(ending):
                 worker.end(ending, RunEnd.DONE)
 
     def _forget_begun(self, worker: StandInWorker) -> None:
-        """Count what begins on the next worker of that name anew."""
+        """Forget start times, as the next worker may have the same name."""
         for run in worker.running:
-            self._begun.pop((run, worker.name), None)
+            self._begun_s.pop((run, worker.name), None)
 
     def _note_begun(self, worker: StandInWorker) -> None:
         for run in worker.running:
             name = (run, worker.name)
-            if name not in self._begun:
-                self._begun[name] = self.lead.now_s
+            if name not in self._begun_s:
+                self._begun_s[name] = self.lead.now_s
                 self.starts[run[0]].append(worker.name)
 
     def _is_whole(self, run: Run) -> bool:
-        """Whether all that has to end together is there."""
+        """Whether a run may end: all members of its gang are running."""
         key, number = run
         job = self._store.jobs[key.job_id]
         running = {there for worker in self.up for there in worker.running}
@@ -177,24 +177,24 @@
     return task == key(0)
 
 
-def nothing(task: TaskKey) -> bool:
-    """Let no task crash its workers."""
+def crashes_nothing(task: TaskKey) -> bool:
+    """Return False: no task crashes its workers."""
     return False
 
 
 def phase_of(store: JobStore, job_id: str = JOB) -> JobPhase:
-    """Return whether a job goes on, or how it ended."""
+    """Return the phase of a job."""
     return store.jobs[job_id].phase
 
 
 def crash_counts(store: JobStore, job_id: str = JOB) -> list[int]:
-    """Return how many crashes count against each task of the first step."""
+    """Return the number of crashes counted for each task of the first step."""
     record = store.jobs[job_id]
     return [len(task.crashes) for task in record.occurrences[0][0]]
 
 
-def on_racks(count: int, racks: int) -> list[StandInWorker]:
-    """Return workers that share racks, two racks a zone."""
+def workers_on_racks(count: int, racks: int) -> list[StandInWorker]:
+    """Return workers spread over racks, with two racks in each zone."""
     fleet = workers(count)
     for number, worker in enumerate(fleet):
         worker.rack = f'r{number % racks}'
--- a/tests/builders_days.py
+++ b/tests/builders_days.py
@@ -1,8 +1,8 @@
-"""Play short days in virtual time, with faults at random.
+"""Simulate short days in virtual time, with random faults.
 
-Workers are cut off, crash and come back under their ids or other ones, leave, lose
-answers and send heartbeats late, also after they have started again; leaders change;
-jobs are cancelled and tasks fail.
+Workers are cut off, crash and return under their ids or new ones, lose answers
+and send heartbeats late, even after a restart.  Leaders change, jobs are
+cancelled and tasks fail.
 """
 
 from __future__ import annotations
@@ -52,7 +52,7 @@
 
 
 class RandomDay:
-    """One day, drawn from a seed."""
+    """A simulated day, determined by a seed."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -72,7 +72,7 @@
         self.lapsed: set[tuple[str, int]] = set()
 
     def step(self, is_calm: bool) -> None:
-        """Let a tenth of a second pass."""
+        """Simulate a tenth of a second."""
         self.now_s += _STEP_S
         self.lead.now_s = self.now_s
         if not is_calm:
@@ -85,7 +85,7 @@
         self.check()
 
     def disturb(self) -> None:
-        """Let something happen."""
+        """Inject random jobs, cancellations and faults."""
         rng = self.rng
         if self.happens(20):
             self.submit()
@@ -107,14 +107,14 @@
             )
 
     def happens(self, percent: int) -> bool:
-        """Draw whether something happens."""
+        """Return whether an event of this probability happens."""
         return self.rng.randrange(100) < percent
 
     def calm_down(self) -> None:
-        """Begin the calm while."""
+        """Prepare for the steps without faults; a hook for subclasses."""
 
     def submit(self) -> None:
-        """Hand a job in."""
+        """Submit a random job."""
         self.serial += 1
         rng = self.rng
         steps = [
@@ -132,14 +132,14 @@
         machine.down_until_s = self.now_s + self.rng.uniform(0.2, 3)
         keeps_id = self.happens(70)
         name = machine.worker.name if keeps_id else f'w{self.serial}'
-        # Clocks step, so a later start may have a lower number.
+        # Clocks may be set back, so a later start may have a lower time.
         born_ms = _FIRST_START_MS + self.serial * self.rng.choice((1, -1))
         machine.worker = StandInWorker(name, machine.vm, born_ms=born_ms)
         machine.work.clear()
         machine.lease_until_s = 0
 
     def _live(self, machine: Machine) -> None:
-        """Let a worker's tasks go on, end and lapse."""
+        """Advance, end and lapse a worker's runs, and send its heartbeat."""
         worker = machine.worker
         if self.now_s < machine.down_until_s:
             return
@@ -213,13 +213,13 @@
         )
 
     def check_order(self, order: StartOrder) -> None:
-        """Check a start that is about to be obeyed."""
+        """Check a start before the worker carries it out."""
         check_start(order, self.store)
 
     def _note_done(self, machine: Machine, acknowledged: int) -> None:
-        """Take note of the good ends that an answer acknowledges.
+        """Record the successful ends that an answer acknowledges.
 
-        An end counts only if the lease went on until then.
+        An end counts only if the worker's lease had not expired by then.
         """
         listed = {ended.number: ended for ended in machine.worker.ended}
         if self.now_s > machine.lease_until_s:
@@ -234,10 +234,10 @@
     def _check_not_done(self, key: TaskKey) -> None:
         is_single = not self.store.may_run_twice(key)
         if key in self.noted_done and is_single:
-            raise BrokenRuleError(f'{key}: begun again after it was done')
+            raise BrokenRuleError(f'{key}: started again after it succeeded')
 
     def check(self) -> None:
-        """Check what runs now."""
+        """Check the runs of all workers that are up."""
         up = (
             machine.worker
             for machine in self.machines
@@ -247,7 +247,7 @@
 
 
 def play(day: RandomDay) -> None:
-    """Play a day with faults, then a calm while."""
+    """Simulate a day with faults, followed by a phase without any."""
     for _ in range(STEPS):
         day.step(is_calm=False)
     day.calm_down()
--- a/tests/builders_restarts.py
+++ b/tests/builders_restarts.py
@@ -1,4 +1,4 @@
-"""Build workers that restart under their id, as the platform tells of them."""
+"""Build platform workers that restart under the same id."""
 
 from __future__ import annotations
 
@@ -37,17 +37,17 @@
 
 @dataclasses.dataclass(slots=True)
 class PlatformWorker(StandInWorker):
-    """A worker that keeps its id, and says when it started."""
+    """A worker that keeps its id and reports when it started."""
 
     born_ms: int | None = BORN_MS
 
     @property
     def last_report(self) -> WorkerReport:
-        """Its newest heartbeat, as it is read from the platform's body."""
+        """Its newest heartbeat, decoded from the platform's body."""
         return decode_heartbeat(self.name, json.dumps(self._body()).encode())
 
     def start_again(self, after_s: float = 1.0) -> None:
-        """Start again under the id, a while after the last start."""
+        """Restart under the same id, a while after the last start."""
         assert self.born_ms is not None
         self.restart(self.born_ms + int(after_s * _MS_PER_S))
 
@@ -73,30 +73,30 @@
 
 
 class WorkingFleet:
-    """A lead whose workers end well, a round later, all that they begin.
+    """A leader whose workers complete every run in the round that starts it.
 
     Parameters
     ----------
     store
         The replicated state.
     workers
-        Who is there.
+        The workers.
 
     Attributes
     ----------
     begun
-        How often each task was begun.
+        How often each task was started.
     """
 
     def __init__(self, store: JobStore, *workers: StandInWorker) -> None:
-        """Begin nothing yet."""
+        """Start without any run."""
         self.store = store
         self.workers = workers
         self.lead = FakeLead(store, workers)
         self.begun = collections.Counter[TaskKey]()
 
     def run(self, rounds: int) -> None:
-        """Let tasks begin and end well."""
+        """Simulate rounds in which tasks start and succeed."""
         for _ in range(rounds):
             self.lead.round()
             for worker in self.workers:
@@ -104,8 +104,8 @@
                 for run in list(worker.running):
                     worker.end(run, RunEnd.DONE)
 
-    def lead_anew(self) -> None:
-        """Let another process lead, which has heard nobody."""
+    def change_leader(self) -> None:
+        """Replace the leader by one that has heard no worker yet."""
         self.lead = FakeLead(
             self.store,
             self.workers,
@@ -114,23 +114,23 @@
         )
 
     def accept(self, spec: JobSpec) -> None:
-        """Accept another job."""
+        """Submit another job."""
         commit(self.store, AddJob(spec, QUEUE))
 
     def phase(self, job_id: str = JOB) -> JobPhase:
-        """Return how far a job is."""
+        """Return the phase of a job."""
         return self.store.jobs[job_id].phase
 
 
 def platform_workers(count: int) -> list[PlatformWorker]:
-    """Return workers on VMs of their own."""
+    """Return workers, each on its own VM."""
     return [
         PlatformWorker(f'i-{number}', f'vm{number}') for number in range(count)
     ]
 
 
 def next_life(worker: StandInWorker) -> StandInWorker:
-    """Return a worker of the platform after it has started again."""
+    """Restart a worker of the platform, and return it."""
     assert isinstance(worker, PlatformWorker)
     worker.start_again()
     return worker
--- a/tests/scheduling/test_advice.py
+++ b/tests/scheduling/test_advice.py
@@ -1,4 +1,4 @@
-"""Test that steps that need an advisor's word start with it only."""
+"""Test that steps that need an advisor's ticket start only with one."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     """One step of a queue with an advisor."""
 
     def test_nothing_starts_without_a_ticket(self) -> None:
-        """The advisor is asked first, about a few workers."""
+        """The advisor is asked about a few workers first."""
         lead = _lead(1)
         lead.round()
         self.assertThat(lead.store.assigned, matchers.HasLength(0))
@@ -48,7 +48,7 @@
         self.assertThat(questions[0].workers, matchers.HasLength(2))
 
     def test_task_starts_on_an_allowed_worker_with_its_ticket(self) -> None:
-        """A ticket goes with the order."""
+        """The order includes the ticket."""
         lead = _lead(1)
         lead.round()
         question = lead.scheduler.advice.questions()[0]
@@ -64,8 +64,8 @@
             matchers.Equals([(key(), 'paper')]),
         )
 
-    def test_old_ticket_is_asked_for_again(self) -> None:
-        """A ticket that would be over on arrival counts no more."""
+    def test_expiring_ticket_is_requested_again(self) -> None:
+        """A ticket that would expire before the order arrives is not used."""
         lead = _lead(1)
         lead.round()
         question = lead.scheduler.advice.questions()[0]
@@ -83,8 +83,8 @@
             matchers.HasLength(1),
         )
 
-    def test_step_is_asked_once_at_a_time(self) -> None:
-        """The advisor's time is short: no question is asked twice."""
+    def test_step_has_one_request_at_a_time(self) -> None:
+        """The advisor is slow, so no request is sent twice."""
         lead = _lead(1)
         lead.round()
         lead.scheduler.advice.questions()
--- a/tests/scheduling/test_cancelled.py
+++ b/tests/scheduling/test_cancelled.py
@@ -1,7 +1,7 @@
-"""Test that nothing of a cancelled job goes on, whoever started it and when.
+"""Test that no run of a cancelled job continues.
 
-Answers workers that get an order late, or whose leader is gone by the time
-that the order's run begins.
+A worker may get an order to start after the job was cancelled, or carry it out
+when the leader that gave it is gone.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
     """One job of one task, ordered to the only worker."""
 
     def setUp(self) -> None:
-        """Order the task, and let the answer be under way."""
+        """Order the task, and cancel the job before the answer arrives."""
         super().setUp()
         self.store = store_with(job())
         self.lead = FakeLead(self.store, workers(1))
@@ -41,7 +41,7 @@
         self.lead.cancel()
 
     def _stops(self, lead: FakeLead) -> tuple[StopOrder, ...]:
-        """Return what the next answer to the worker stops."""
+        """Return the stops in the next answer to the worker."""
         lead.now_s += 0.5
         lead.hear(self.worker)
         lead.plan()
@@ -49,7 +49,7 @@
         return lead.scheduler.answers.orders(known, lead.now_s).stops
 
     def test_run_that_starts_late_is_stopped(self) -> None:
-        """The answer arrives after the cancel was acknowledged."""
+        """The answer arrives after the cancellation was acknowledged."""
         self.assertThat(self._stops(self.lead), matchers.Equals(()))
         self.worker.obey(self.late)
         expected = (StopOrder(key(), _RUN),)
@@ -63,7 +63,7 @@
         self.assertThat(self._stops(lead), matchers.Equals(expected))
 
     def test_run_of_a_forgotten_job_is_stopped(self) -> None:
-        """Nothing tells any more what it was."""
+        """The leader has no record of the job any more."""
         self._stops(self.lead)
         commit(self.store, ForgetJobs((JOB,)))
         self.worker.obey(self.late)
--- a/tests/scheduling/test_crashing.py
+++ b/tests/scheduling/test_crashing.py
@@ -1,17 +1,13 @@
-"""Test what becomes of tasks that bring their workers down.
+"""Test that tasks which crash their workers are isolated and given up.
 
-Seen: for two minutes one task of 0.36 s took down each worker that started it,
-one every four seconds, and with each worker the ten runs beside it; half of
-the pool was always away, and no job of the queue ended any more.
+Guards against this failure: a task of 0.36 s crashed each worker that started
+it, one every four seconds for two minutes, and with each worker the ten runs
+beside it. Half of the pool was always down, and no job of the queue ended.
 
-How it came about: a worker that started the task was silent from that moment,
-its lease ran out, and the task was lost with it and placed on the next.  Its
-VM had a new worker 3.2 s later, in another zone and rack each time.
-
-Cause: a run that is lost with its worker counted for nothing, as if only the
-worker could be at fault, so nothing ever ended the series.  The log proved it:
-each of these runs ended as lost with no failure counted, under one leader, and
-workers of the same racks without the task went on.
+Such a worker fell silent at the start of the task.  When its lease expired,
+the task counted as lost and was placed on the next worker.  The VM had a new
+worker 3.2 s later, in another zone and rack each time.  As the loss of a
+worker was never counted against its runs, nothing ended the series.
 """
 
 from __future__ import annotations
@@ -20,13 +16,13 @@
 from testtools import matchers
 
 from tests.builders_crashes import (
-    AWAY_S,
+    OUTAGE_S,
     MOST_STARTS,
     CrashingFleet,
     crash_counts,
     is_first,
-    nothing,
-    on_racks,
+    crashes_nothing,
+    workers_on_racks,
     phase_of,
 )
 from tests.builders_jobs import (
@@ -59,7 +55,7 @@
 _COMPLETED = matchers.Equals(JobPhase.COMPLETED)
 _ACTIVE = matchers.Equals(JobPhase.ACTIVE)
 _LONG_S = 60
-# Three crashes, each found out after a lease, and little more.
+# Three crashes, each detected after a lease, and some margin.
 _SOON_S = 16
 
 
@@ -67,7 +63,7 @@
     """A task that crashes each worker that starts it."""
 
     def test_task_that_crashes_its_workers_is_given_up(self) -> None:
-        """It ends as failed, instead of taking down one worker after another."""
+        """Its job fails before the task crashes one worker after another."""
         store = store_with(job(step(4)))
         fleet = CrashingFleet(store, workers(6), lambda task: task == key(0))
         fleet.run(60)
@@ -76,7 +72,7 @@
         self.assertThat(store.jobs[JOB].phase, matchers.Equals(JobPhase.FAILED))
 
     def test_jobs_beside_it_are_done(self) -> None:
-        """Who was on the same workers is begun again, and ends well."""
+        """Tasks on the same workers are restarted and succeed."""
         others = [f'{number:016x}' for number in range(1, 9)]
         store = store_with(
             job(step(2)), *(job(step(4), job_id=other) for other in others)
@@ -88,7 +84,7 @@
             self.assertThat(phase_of(store, other), _COMPLETED)
 
     def test_many_such_tasks_at_once_are_given_up(self) -> None:
-        """Of twelve jobs on six workers, those six that crash them fail."""
+        """Of twelve jobs on six workers, the six that crash workers fail."""
         ids = [f'{number:016x}' for number in range(12)]
         bad = set(ids[::2])
         store = store_with(*(job(step(4), job_id=one) for one in ids))
@@ -105,9 +101,9 @@
             self.assertThat(started, matchers.LessThan(MOST_STARTS + 1))
 
     def test_job_of_such_tasks_alone_is_given_up(self) -> None:
-        """All its tasks crash their workers, those of a whole rack at once."""
+        """All of its tasks crash their workers, a whole rack at once."""
         store = store_with(job(step(8, cpu_millicores=16_000)))
-        fleet = CrashingFleet(store, on_racks(8, 2), lambda task: True)
+        fleet = CrashingFleet(store, workers_on_racks(8, 2), lambda task: True)
         fleet.run(_LONG_S)
         self.assertThat(phase_of(store), _FAILED)
         for started in fleet.starts.values():
@@ -115,14 +111,14 @@
             self.assertThat(len(started), most)
 
     def test_small_pool_gives_it_up_too(self) -> None:
-        """One worker is all there is, so nothing can be kept apart."""
+        """With a single worker no task can be isolated."""
         store = store_with(job(step(2)), job(step(2), job_id=OTHER_JOB))
         fleet = CrashingFleet(store, workers(1), is_first)
         fleet.run(_LONG_S)
         self.assertThat(phase_of(store), _FAILED)
 
     def test_workers_that_come_back_late_are_waited_for(self) -> None:
-        """A task whose crashes are not proved yet is not begun for ever."""
+        """A task is not restarted without limit while losses are unsettled."""
         for back_after_s in (1.0, 9.0, 18.0):
             store = store_with(job(step(4)))
             fleet = CrashingFleet(
@@ -137,7 +133,7 @@
             self.assertThat(started, matchers.LessThan(MOST_STARTS + 1))
 
     def test_changes_of_leader_lose_no_crash(self) -> None:
-        """A leader that never heard a worker knows its VM by the record."""
+        """A leader that never heard a worker knows its VM from the record."""
         store = store_with(job(step(4)))
         fleet = CrashingFleet(store, workers(6), is_first)
         for _ in range(12):
@@ -148,7 +144,7 @@
         self.assertThat(started, matchers.LessThan(MOST_STARTS + 1))
 
     def test_late_workers_and_new_leaders_lose_no_crash(self) -> None:
-        """A leader that knows nothing of a loss knows that there was one."""
+        """The record tells a new leader of a loss that it did not see."""
         store = store_with(job(step(4)))
         fleet = CrashingFleet(store, workers(6), is_first, back_after_s=6.5)
         for _ in range(20):
@@ -159,7 +155,7 @@
         self.assertThat(phase_of(store), _FAILED)
 
     def test_order_of_an_earlier_leader_hides_no_start(self) -> None:
-        """It was recorded, and answered; what began there since is not ended."""
+        """The order was carried out, so it does not explain a later crash."""
         store = store_with()
         fleet = CrashingFleet(store, workers(6), is_first)
         fleet.run(1)
@@ -174,14 +170,14 @@
         self.assertThat(crash_counts(store)[0], matchers.Equals(1))
 
     def test_loss_that_is_explained_counts_no_more(self) -> None:
-        """A worker that was cut off is heard again, before it is settled."""
+        """A worker that was cut off returns before the loss is settled."""
         store = store_with(job(serving_step(1)))
-        fleet = CrashingFleet(store, workers(4), nothing)
+        fleet = CrashingFleet(store, workers(4), crashes_nothing)
         fleet.run(2)
         cut = [worker for worker in fleet.up if worker.running]
         for worker in cut:
             fleet.lead.workers.pop(worker.name)
-        fleet.run(AWAY_S)
+        fleet.run(OUTAGE_S)
         self.assertThat(crash_counts(store), matchers.Equals([1]))
         for returned in cut:
             returned.running.clear()
@@ -191,10 +187,10 @@
 
 
 class TestKinds(testtools.TestCase):
-    """Steps of other kinds that crash their workers."""
+    """Other kinds of steps that crash their workers."""
 
     def test_gang_with_such_a_member_is_given_up(self) -> None:
-        """The members on other workers are not held to be the cause."""
+        """The members on other workers do not count as the cause."""
         gang = step(4, is_gang=True, cpu_millicores=9000)
         store = store_with(job(gang))
         fleet = CrashingFleet(store, workers(6), is_first)
@@ -205,7 +201,7 @@
         self.assertThat(crash_counts(store)[1:], matchers.Equals([0, 0, 0]))
 
     def test_copies_do_not_add_to_the_starts(self) -> None:
-        """What may have brought a worker down gets no copy elsewhere."""
+        """A run that may have crashed its worker is not copied elsewhere."""
         store = store_with(job(step(4, has_copies=True)))
         fleet = CrashingFleet(store, workers(6), is_first)
         fleet.run(_LONG_S)
@@ -214,7 +210,7 @@
         self.assertThat(started, matchers.LessThan(MOST_STARTS + 1))
 
     def test_serving_task_that_crashes_its_workers_costs_no_other(self) -> None:
-        """Its job goes on, and nothing else is on a worker that it may crash."""
+        """Its job continues, and it is isolated from other tasks."""
         store = store_with(job(serving_step(3)), job(step(4), job_id=OTHER_JOB))
         fleet = CrashingFleet(store, workers(8), is_first, work_s=3.0)
         fleet.run(_LONG_S)
@@ -225,9 +221,9 @@
             self.assertThat(crashed, matchers.HasLength(0))
 
     def test_serving_task_outlives_the_crashes_of_its_vms(self) -> None:
-        """One that worked for long each time is at no fault, however often."""
+        """A task that ran for long before each crash is not the cause."""
         store = store_with(job(serving_step(1)))
-        fleet = CrashingFleet(store, workers(6), nothing)
+        fleet = CrashingFleet(store, workers(6), crashes_nothing)
         for _ in range(8):
             fleet.run(20)
             fleet.take_down(worker for worker in fleet.up if worker.running)
@@ -237,7 +233,7 @@
         self.assertThat(fleet.crashed[key(0)], matchers.HasLength(8))
 
     def test_serving_tasks_beside_crashes_go_on(self) -> None:
-        """Tasks that crash the workers of a pool cost it no serving job."""
+        """Tasks that crash a pool's workers fail none of its serving jobs."""
         ids = [f'{number:016x}' for number in range(6)]
         store = store_with(
             job(serving_step(3)),
@@ -257,10 +253,10 @@
 
 
 class TestKeptApart(testtools.TestCase):
-    """Where tasks run that may crash their workers."""
+    """How tasks that may crash their workers are isolated."""
 
     def test_after_two_crashes_a_task_runs_alone(self) -> None:
-        """The third crash takes nothing of other jobs with it."""
+        """The third crash affects no run of another job."""
         ids = [f'{number:016x}' for number in range(1, 12)]
         store = store_with(
             job(step(1)), *(job(step(6), job_id=one) for one in ids)
@@ -282,7 +278,7 @@
         self.assertThat(phase_of(store), _FAILED)
 
     def test_next_leader_lets_it_run_alone_too(self) -> None:
-        """It knows of the crashes, if not when they were."""
+        """It knows of the crashes, though not when they happened."""
         beside = step(14, cpu_millicores=4000)
         store = store_with(job(beside, job_id=OTHER_JOB))
         fleet = CrashingFleet(store, workers(4), is_first, work_s=4.0)
@@ -302,11 +298,11 @@
         self.assertThat(fleet.crashed, matchers.HasLength(1))
 
     def test_worker_is_kept_that_can_take_the_task(self) -> None:
-        """It carries what the task needs, and has the room for it."""
+        """It has the label and the resources that the task needs."""
         large = workers(8)
         for number, worker in enumerate(large):
             worker.kind = 'large' if number in {5, 6, 7} else 'small'
-            # By name alone the small ones would be taken first.
+            # Sorted by name alone, the small ones would come first.
             worker.name = f'{worker.kind != "small"}{number}'
             worker.cpu_millicores = 4000 if number == 5 else 16_000
         store = store_with(
@@ -317,7 +313,7 @@
         self.assertThat(phase_of(store), _FAILED)
 
     def test_most_of_a_pool_stays_open(self) -> None:
-        """Many tasks that have to run alone leave others two thirds of it."""
+        """Isolated tasks leave two thirds of the pool to others."""
         bad = [f'{number:016x}' for number in range(6)]
         good = [f'{number:016x}' for number in range(6, 20)]
         store = store_with(
@@ -332,10 +328,10 @@
 
 
 class TestRecord(testtools.TestCase):
-    """What is replicated of crashes."""
+    """The replicated record of crashes."""
 
     def test_snapshot_keeps_what_counts(self) -> None:
-        """A process that begins from a snapshot counts on from there."""
+        """A process that starts from a snapshot keeps the counts."""
         store = store_with(job(step(4)))
         fleet = CrashingFleet(store, workers(6), is_first)
         while not any(crash_counts(store)):
--- a/tests/scheduling/test_explained_losses.py
+++ b/tests/scheduling/test_explained_losses.py
@@ -1,7 +1,7 @@
-"""Test that losses of workers that have another cause count against nothing.
+"""Test that explained losses of workers don't count against their runs.
 
-Pattern: racks, zones and single workers go down or are cut off, drain, and are
-ordered away, again and again under the same tasks, which are all sound.
+The same harmless tasks lose their workers again and again: racks, zones and
+single workers fail or are cut off, workers drain, and VMs are ordered.
 """
 
 from __future__ import annotations
@@ -10,13 +10,13 @@
 from testtools import matchers
 
 from tests.builders_crashes import (
-    AWAY_S,
+    OUTAGE_S,
     MOST_STARTS,
     CrashingFleet,
     crash_counts,
     is_first,
-    nothing,
-    on_racks,
+    crashes_nothing,
+    workers_on_racks,
     phase_of,
 )
 from tests.builders_jobs import (
@@ -36,29 +36,33 @@
 
 
 class TestOtherLosses(testtools.TestCase):
-    """Losses that are not the fault of what ran there."""
+    """Losses of workers that their runs did not cause."""
 
     def test_rack_that_goes_counts_against_nothing(self) -> None:
-        """However often: all its workers go at once, those without work too."""
+        """However often: all of its workers fail at once, idle ones too."""
         long_step = step(8, cpu_millicores=9000)
         store = store_with(job(long_step))
-        fleet = CrashingFleet(store, on_racks(12, 3), nothing, work_s=2.5)
+        fleet = CrashingFleet(
+            store, workers_on_racks(12, 3), crashes_nothing, work_s=2.5
+        )
         for _ in range(5):
             fleet.run(1.5)
             busy = [worker.rack for worker in fleet.up if worker.running]
             gone = [worker for worker in fleet.up if worker.rack in busy[:1]]
-            fleet.take_down(gone, AWAY_S)
+            fleet.take_down(gone, OUTAGE_S)
             fleet.run(9)
         self.assertThat(set(crash_counts(store)), matchers.Equals({0}))
         self.assertThat(phase_of(store), _COMPLETED)
 
     def test_zone_that_goes_counts_against_nothing(self) -> None:
-        """Two racks of one zone go together."""
+        """Two racks of one zone fail together."""
         store = store_with(job(step(10, cpu_millicores=9000)))
-        fleet = CrashingFleet(store, on_racks(12, 4), nothing, work_s=4.0)
+        fleet = CrashingFleet(
+            store, workers_on_racks(12, 4), crashes_nothing, work_s=4.0
+        )
         fleet.run(1)
         gone = [worker for worker in fleet.up if worker.zone == 'z0']
-        fleet.take_down(gone, AWAY_S)
+        fleet.take_down(gone, OUTAGE_S)
         fleet.run(20)
         lost = [task for task, on in fleet.crashed.items() if on]
         self.assertThat(lost, matchers.Not(matchers.HasLength(0)))
@@ -66,15 +70,15 @@
         self.assertThat(phase_of(store), _COMPLETED)
 
     def test_worker_that_is_cut_off_counts_against_nothing(self) -> None:
-        """It comes back as it was: it never went down."""
+        """It returns as the same incarnation, so it never crashed."""
         store = store_with(job(serving_step(1)))
-        fleet = CrashingFleet(store, workers(4), nothing)
+        fleet = CrashingFleet(store, workers(4), crashes_nothing)
         for _ in range(6):
             fleet.run(2)
             cut = [worker for worker in fleet.up if worker.running]
             for worker in cut:
                 fleet.lead.workers.pop(worker.name)
-            fleet.run(AWAY_S)
+            fleet.run(OUTAGE_S)
             for returned in cut:
                 returned.running.clear()
                 fleet.lead.workers[returned.name] = returned
@@ -83,9 +87,9 @@
         self.assertThat(phase_of(store), _ACTIVE)
 
     def test_order_for_its_vm_counts_against_nothing(self) -> None:
-        """A VM that is moved or maintained has another worker afterwards."""
+        """A VM that is moved or maintained has a new worker afterwards."""
         store = store_with(job(serving_step(1)))
-        fleet = CrashingFleet(store, workers(4), nothing)
+        fleet = CrashingFleet(store, workers(4), crashes_nothing)
         for _ in range(5):
             fleet.run(3)
             for worker in fleet.up:
@@ -99,13 +103,13 @@
         self.assertThat(phase_of(store), _ACTIVE)
 
     def test_order_while_it_was_silent_counts_against_nothing(self) -> None:
-        """It was cut off, and what ended it was the order."""
+        """The worker was cut off, and the order ended it."""
         store = store_with(job(serving_step(1)))
-        fleet = CrashingFleet(store, workers(4), nothing)
+        fleet = CrashingFleet(store, workers(4), crashes_nothing)
         for _ in range(5):
             fleet.run(3)
             silent = [worker for worker in fleet.up if worker.running]
-            fleet.take_down(silent, AWAY_S)
+            fleet.take_down(silent, OUTAGE_S)
             fleet.run(5)
             for worker in silent:
                 crashes = fleet.lead.scheduler.crashes
@@ -115,7 +119,7 @@
         self.assertThat(phase_of(store), _ACTIVE)
 
     def test_order_for_its_successor_explains_no_loss(self) -> None:
-        """An idle worker is moved at once; the one before it had crashed."""
+        """The idle successor is moved at once; its predecessor had crashed."""
         store = store_with(job(step(2)))
         fleet = CrashingFleet(store, workers(6), is_first)
         ordered: set[str] = set()
@@ -134,13 +138,13 @@
         self.assertThat(started, matchers.LessThan(MOST_STARTS + 1))
 
     def test_worker_that_crashes_behind_a_cut_proves_little(self) -> None:
-        """Its lease may have ended the run before, so two are no proof."""
+        """Its lease may have ended the run before the crash."""
         store = store_with(job(serving_step(1)))
-        fleet = CrashingFleet(store, workers(4), nothing)
+        fleet = CrashingFleet(store, workers(4), crashes_nothing)
         for _ in range(3):
             fleet.run(3)
             cut = [worker for worker in fleet.up if worker.running]
-            fleet.take_down(cut, AWAY_S)
+            fleet.take_down(cut, OUTAGE_S)
             fleet.run(9)
         task = store.task_of(key(0))
         assert task is not None
@@ -150,9 +154,9 @@
         self.assertThat(phase_of(store), _ACTIVE)
 
     def test_worker_that_drained_counts_against_nothing(self) -> None:
-        """It said that it ends, and a task could not leave in time."""
+        """It announced its end, and a task did not end in time."""
         store = store_with(job(step(2)))
-        fleet = CrashingFleet(store, workers(4), nothing, work_s=9.0)
+        fleet = CrashingFleet(store, workers(4), crashes_nothing, work_s=9.0)
         for _ in range(4):
             fleet.run(1)
             leaving = [worker for worker in fleet.up if worker.running]
@@ -166,9 +170,9 @@
         self.assertThat(set(crash_counts(store)), matchers.Equals({0}))
 
     def test_start_that_was_never_told_counts_against_nothing(self) -> None:
-        """A worker can't go down by what it did not hear of."""
+        """A worker can't be crashed by a start that it did not hear of."""
         store = store_with(job(step(2)))
-        fleet = CrashingFleet(store, workers(1), nothing)
+        fleet = CrashingFleet(store, workers(1), crashes_nothing)
         lead = fleet.lead
         lead.hear(fleet.up[0])
         lead.plan()
@@ -178,9 +182,9 @@
         self.assertThat(phase_of(store), _COMPLETED)
 
     def test_single_crash_is_no_verdict(self) -> None:
-        """A worker that goes down once costs its tasks a start, no more."""
+        """Each task of a worker that crashes once is restarted and succeeds."""
         store = store_with(job(step(6)))
-        fleet = CrashingFleet(store, workers(4), nothing, work_s=2.0)
+        fleet = CrashingFleet(store, workers(4), crashes_nothing, work_s=2.0)
         fleet.run(1)
         fleet.take_down(worker for worker in fleet.up if worker.running)
         fleet.run(15)
--- a/tests/scheduling/test_foreign.py
+++ b/tests/scheduling/test_foreign.py
@@ -1,7 +1,7 @@
-"""Test that heartbeats of nobody that is known change nothing.
+"""Test that foreign heartbeats change nothing.
 
-Answers entries that another writer made: they can be read, but name a service
-that the manifest does not, or another one than their worker had.
+A foreign writer may create entries that can be decoded, but that name a service
+which is not in the manifest, or another service than their worker's.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
     """A pool of two workers, one of which serves."""
 
     def setUp(self) -> None:
-        """Let a task serve."""
+        """Start a serving task."""
         super().setUp()
         self.lead = FakeLead(store_with(job(serving_step(1))), workers(2))
         self.lead.round()
@@ -38,7 +38,7 @@
         self.assertThat(newest.report.worker, matchers.Equals('w0'))
 
     def test_incarnation_keeps_its_service(self) -> None:
-        """Another service under its name neither ends nor renews it."""
+        """A heartbeat with another service neither ends nor renews it."""
         twin = StandInWorker('w0', 'vm0', service='unnamed', sequence=900)
         self.lead.hear(twin)
         self.lead.round()
@@ -47,7 +47,7 @@
         self.assertThat(known.heard_s, matchers.Equals(self.lead.now_s))
 
     def test_copy_of_a_heartbeat_tells_nothing_new(self) -> None:
-        """Whatever it says beside its number, ends are taken from the first."""
+        """Only the first heartbeat with a sequence number is applied."""
         worker = next(
             known for known in self.lead.workers.values() if known.running
         )
@@ -62,7 +62,7 @@
         self.assertThat(heard.incarnation.report, matchers.Equals(sent))
 
     def test_worker_of_a_dropped_service_is_followed(self) -> None:
-        """What runs on it is still to be ended and acknowledged."""
+        """Its runs still have to end and to be acknowledged."""
         worker = next(
             known for known in self.lead.workers.values() if known.running
         )
@@ -74,7 +74,7 @@
         )
 
     def test_first_manifest_may_come_later(self) -> None:
-        """Workers are there before anything names their services."""
+        """Workers may be heard before any manifest names their services."""
         store = JobStore()
         lead = FakeLead(store, workers(1))
         lead.round()
--- a/tests/scheduling/test_losses.py
+++ b/tests/scheduling/test_losses.py
@@ -1,4 +1,4 @@
-"""Test which losses a rack or a zone explains."""
+"""Test which losses are explained by a failed rack or zone."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from wigeonreach.scheduling._incarnation import Incarnation, room_of
 from wigeonreach.scheduling._losses import (
     DomainLoss,
-    FallenWorkers,
+    LossCorrelation,
     WorkerLoss,
 )
 from wigeonreach.standins import StandInWorker
@@ -43,60 +43,64 @@
 
 
 class TestDomainLoss(testtools.TestCase):
-    """A worker that went down, and what went with it."""
+    """A lost worker, and other workers that were lost with it."""
 
     def test_worker_alone_is_no_domain(self) -> None:
-        """Nothing else fell silent."""
+        """No other worker fell silent."""
         self.assertThat(
-            FallenWorkers((), ()).domain_of(_loss(0)), matchers.Is(None)
+            LossCorrelation((), ()).failed_domain(_loss(0)), matchers.Is(None)
         )
 
     def test_rack_with_an_idle_worker_went(self) -> None:
-        """What had nothing to bring it down proves that the rack did."""
+        """The loss of an unprovoked worker proves that the rack failed."""
         losses = (_loss(0), _loss(1, 10.9, is_provoked=False))
-        found = FallenWorkers(losses, (_alive('r1', 'z1'),)).domain_of(
+        found = LossCorrelation(losses, (_alive('r1', 'z1'),)).failed_domain(
             losses[0]
         )
-        expected = DomainLoss('rack r0', is_proved=True)
+        expected = DomainLoss('rack r0', is_conclusive=True)
         self.assertThat(found, matchers.Equals(expected))
 
     def test_rack_of_one_queue_may_be_brought_down_by_its_tasks(self) -> None:
-        """Each of its workers had just begun something."""
+        """A run had just begun on each of its workers."""
         losses = (_loss(0), _loss(1), _loss(2))
-        found = FallenWorkers(losses, (_alive('r1', 'z1'),)).domain_of(
+        found = LossCorrelation(losses, (_alive('r1', 'z1'),)).failed_domain(
             losses[0]
         )
-        expected = DomainLoss('rack r0', is_proved=False)
+        expected = DomainLoss('rack r0', is_conclusive=False)
         self.assertThat(found, matchers.Equals(expected))
 
     def test_several_services_went_with_their_rack(self) -> None:
-        """Two that happen to crash at once are no rack yet."""
+        """Two services are not enough: two workers may crash by coincidence."""
         pair = (_loss(0), _loss(1, service='other'))
-        found = FallenWorkers(pair, (_alive('r1', 'z1'),)).domain_of(pair[0])
-        unproved = DomainLoss('rack r0', is_proved=False)
+        found = LossCorrelation(pair, (_alive('r1', 'z1'),)).failed_domain(
+            pair[0]
+        )
+        unproved = DomainLoss('rack r0', is_conclusive=False)
         self.assertThat(found, matchers.Equals(unproved))
         three = (*pair, _loss(2))
-        found = FallenWorkers(three, (_alive('r1', 'z1'),)).domain_of(three[0])
-        proved = DomainLoss('rack r0', is_proved=True)
+        found = LossCorrelation(three, (_alive('r1', 'z1'),)).failed_domain(
+            three[0]
+        )
+        proved = DomainLoss('rack r0', is_conclusive=True)
         self.assertThat(found, matchers.Equals(proved))
 
     def test_rack_with_a_survivor_did_not_go(self) -> None:
-        """Nor did the zone that it is in."""
+        """The zone of the rack did not fail either."""
         losses = (_loss(0), _loss(1, is_provoked=False))
-        found = FallenWorkers(losses, (_alive(),)).domain_of(losses[0])
+        found = LossCorrelation(losses, (_alive(),)).failed_domain(losses[0])
         self.assertThat(found, matchers.Is(None))
 
     def test_zone_went_with_its_racks(self) -> None:
-        """One worker of each of its racks was left."""
+        """Each of its racks had one worker, and both were lost."""
         losses = (_loss(0), _loss(1, rack='r1', is_provoked=False))
-        found = FallenWorkers(losses, (_alive('r2', 'z1'),)).domain_of(
+        found = LossCorrelation(losses, (_alive('r2', 'z1'),)).failed_domain(
             losses[0]
         )
-        expected = DomainLoss('zone z0', is_proved=True)
+        expected = DomainLoss('zone z0', is_conclusive=True)
         self.assertThat(found, matchers.Equals(expected))
 
     def test_idle_worker_that_fell_too_is_company(self) -> None:
-        """Something takes workers down that have nothing to do so by."""
+        """It shows that workers fail without being provoked at that time."""
         others = (_loss(1, 10.5, rack='r1', is_provoked=False), _loss(2, 10.1))
         for lost, beside, has_company in (
             (_loss(0), others, True),
@@ -105,22 +109,23 @@
             (_loss(0, is_provoked=False), others, True),
             (_loss(0, is_provoked=False), others[1:], False),
         ):
-            fallen = FallenWorkers((lost, *beside), ())
-            found = fallen.has_company(lost)
+            fallen = LossCorrelation((lost, *beside), ())
+            found = fallen.coincides_with_unprovoked(lost)
             self.assertThat(found, matchers.Is(has_company))
 
     def test_losses_at_other_times_are_no_domain(self) -> None:
-        """Three seconds apart they did not go together."""
+        """Workers that are lost three seconds apart did not fail together."""
         losses = (_loss(0), _loss(1, 13, is_provoked=False))
         self.assertThat(
-            FallenWorkers(losses, ()).domain_of(losses[0]), matchers.Is(None)
+            LossCorrelation(losses, ()).failed_domain(losses[0]),
+            matchers.Is(None),
         )
 
     def test_workers_that_came_later_are_no_survivors(self) -> None:
-        """Another worker of the rack joined after it had gone."""
+        """Another worker of the rack joined after its failure."""
         losses = (_loss(0), _loss(1, is_provoked=False))
         late = _alive()
         late.first_heard_s = 14
-        found = FallenWorkers(losses, (late,)).domain_of(losses[0])
-        expected = DomainLoss('rack r0', is_proved=True)
+        found = LossCorrelation(losses, (late,)).failed_domain(losses[0])
+        expected = DomainLoss('rack r0', is_conclusive=True)
         self.assertThat(found, matchers.Equals(expected))
--- a/tests/scheduling/test_maintenance.py
+++ b/tests/scheduling/test_maintenance.py
@@ -1,4 +1,4 @@
-"""Test that waves stay within their limits and the steps' budgets."""
+"""Test that waves keep their limits and the limits of serving steps."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
 class TestMaintenance(testtools.TestCase):
     """Decisions about the VMs of one wave."""
 
-    def test_one_task_of_a_step_leaves_at_once(self) -> None:
-        """Two VMs are emptied together; only one of their tasks stops."""
+    def test_one_task_of_a_step_is_stopped_at_a_time(self) -> None:
+        """Two VMs are emptied together; only one of their tasks is stopped."""
         lead = FakeLead(store_with(job(serving_step(3))), workers(8))
         lead.round()
         lead.round()
@@ -41,8 +41,8 @@
         )
         self.assertThat(step.stops, matchers.HasLength(1))
 
-    def test_no_task_leaves_while_another_is_away(self) -> None:
-        """A task that is on its way to another worker counts as away."""
+    def test_no_task_is_stopped_while_another_is_unavailable(self) -> None:
+        """A task that moves to another worker counts as unavailable."""
         lead = FakeLead(store_with(job(serving_step(3))), workers(8))
         lead.round()
         lead.round()
@@ -57,7 +57,7 @@
         self.assertThat(step.stops, matchers.HasLength(0))
 
     def test_standby_vm_is_back_by_a_newer_list_only(self) -> None:
-        """A list from before the order does not show that it is over."""
+        """A list from before the order does not show its effect."""
         lead = FakeLead(store_with(), workers(1))
         maintenance = lead.scheduler.maintenance
         maintenance.note_vms((_record('off1', VmPhase.UP),), 1.0)
@@ -80,7 +80,7 @@
         )
 
     def test_late_heartbeat_of_an_ended_worker_is_no_return(self) -> None:
-        """It was sent before the order, and first heard after it."""
+        """It was sent before the order, but is first heard after it."""
         lead = FakeLead(store_with(), ())
         maintenance = lead.scheduler.maintenance
         lead.start_wave(('vm0',), limit=1)
@@ -103,7 +103,7 @@
         )
 
     def test_worker_that_came_back_by_itself_was_not_maintained(self) -> None:
-        """A crash between record and order is no maintenance."""
+        """A crash between the record and the order is no maintenance."""
         lead = FakeLead(store_with(), workers(2))
         maintenance = lead.scheduler.maintenance
         lead.round()
@@ -129,8 +129,8 @@
             matchers.Equals([(1, 'vm0')]),
         )
 
-    def test_vm_that_may_not_be_ordered_yet_keeps_no_place(self) -> None:
-        """A new leader maintains others while it waits for those."""
+    def test_vm_that_may_not_be_ordered_yet_blocks_no_other(self) -> None:
+        """A new leader maintains other VMs in the meantime."""
         lead = FakeLead(store_with(), workers(3))
         lead.round()
         lead.start_wave(('vm0', 'vm1', 'vm2'), limit=1)
@@ -142,8 +142,8 @@
         )
         self.assertThat(maintenance.cordoned, matchers.Equals({'vm2'}))
 
-    def test_vm_that_is_gone_is_asked_for(self) -> None:
-        """The platform lists it no more, and says so when it is ordered."""
+    def test_vm_that_is_not_listed_is_ordered(self) -> None:
+        """Only the platform's answer to an order shows that a VM is gone."""
         lead = FakeLead(store_with(), workers(1))
         maintenance = lead.scheduler.maintenance
         lead.start_wave(('gone1',), limit=1)
@@ -157,7 +157,7 @@
         self.assertThat(lead.store.waves[1].is_done, matchers.Is(True))
 
     def test_vm_that_may_still_be_heard_is_waited_for(self) -> None:
-        """A list may lack an entry, and a new leader has not heard all."""
+        """The list may lack a VM whose worker is not heard yet."""
         lead = FakeLead(store_with(), workers(1))
         maintenance = lead.scheduler.maintenance
         lead.start_wave(('vm0',), limit=1)
@@ -165,7 +165,7 @@
         found = maintenance.step(set(), LEASE_OVER_S - 0.5)
         self.assertThat(found.orders, matchers.HasLength(0))
 
-    def test_vm_that_is_down_is_not_asked_again(self) -> None:
+    def test_vm_that_is_down_is_not_ordered_again(self) -> None:
         """A refused order waits until the list shows the VM up."""
         lead = FakeLead(store_with(), workers(1))
         maintenance = lead.scheduler.maintenance
@@ -183,7 +183,7 @@
         )
 
     def test_vm_of_two_waves_is_ordered_for_the_one_that_waits(self) -> None:
-        """A wave that is done with a VM does not order it again."""
+        """A wave that has maintained a VM does not order it again."""
         lead = FakeLead(store_with(), workers(2))
         lead.round()
         lead.start_wave(('vm0',), limit=1)
@@ -194,7 +194,7 @@
         self.assertThat(step.orders, matchers.Equals([(2, 'vm0', 'w0')]))
 
     def test_vm_of_a_silent_worker_with_tasks_waits(self) -> None:
-        """A worker that this leader has not heard may still work."""
+        """A worker that this leader has not heard may still have runs."""
         store = store_with(job(serving_step(1)))
         FakeLead(store, workers(1)).round()
         lead = FakeLead(store, (), now_s=10.0)
@@ -208,7 +208,7 @@
         )
 
     def test_order_comes_once_a_vm_is_empty(self) -> None:
-        """An idle VM is ordered, and counts until it is back."""
+        """An idle VM is ordered and counts until it is back."""
         lead = FakeLead(store_with(), workers(3))
         lead.round()
         lead.start_wave(('vm0', 'vm1', 'vm2'), limit=1)
@@ -223,23 +223,23 @@
     """A wave over a quarter of a fleet in which every worker is busy."""
 
     def setUp(self) -> None:
-        """Let twenty workers run a task each."""
+        """Start twenty workers with one run each."""
         super().setUp()
         work = job(step(20, cpu_millicores=16_000))
         self._lead(FakeLead(store_with(work), workers(20)))
 
     def test_wave_with_time_takes_few_vms_at_once(self) -> None:
-        """Five VMs of 5 s each fit one by one into four fifths of 32 s."""
+        """Five VMs at 5 s each fit one by one into four fifths of 32 s."""
         self._start(due_after_s=32.0)
         self.assertThat(self._taken(), matchers.HasLength(1))
 
     def test_wave_with_less_time_takes_two_at_once(self) -> None:
-        """In 25 s they would not all fit one by one."""
+        """They don't all fit one by one into four fifths of 25 s."""
         self._start(due_after_s=25.0)
         self.assertThat(self._taken(), matchers.HasLength(2))
 
     def test_idle_vms_are_taken_as_allowed(self) -> None:
-        """Nobody misses them now."""
+        """Idle VMs are taken up to the limit, as nothing runs on them."""
         self.lead.cancel()
         self.lead.round()
         self.lead.round()
@@ -247,19 +247,19 @@
         self.assertThat(self._taken(), matchers.HasLength(4))
 
     def test_wave_that_is_short_of_time_goes_to_its_limit(self) -> None:
-        """From the start, or because it came to be late."""
+        """The time of the wave is too short to go slower."""
         self._start(due_after_s=4.0)
         self.assertThat(self._taken(), matchers.HasLength(4))
 
     def test_wave_that_falls_behind_takes_more(self) -> None:
-        """Most of its time has passed and nothing is done."""
+        """Most of its time has passed and no VM is done."""
         self._start(due_after_s=25.0)
         self._taken()
         self.lead.now_s += 18
         self.assertThat(self._taken(), matchers.HasLength(4))
 
     def test_wave_of_a_former_leader_goes_to_its_limit(self) -> None:
-        """How much of its time is left is not known."""
+        """The new leader does not know how much of its time is left."""
         self._start(due_after_s=25.0)
         before = self.lead
         after = before.now_s
--- a/tests/scheduling/test_moving_out.py
+++ b/tests/scheduling/test_moving_out.py
@@ -1,9 +1,9 @@
-"""Test that no more of a serving step is away than it may miss.
+"""Test that no serving step has more unavailable tasks than its limit.
 
-Pattern: hundreds of VMs are maintained and moved within half a minute while
-workers are cut off and leaders change.  What a leader knows of a task is then a
-heartbeat old, or told by its predecessor, and an order for a VM is on its way
-while starts are being recorded.
+Hundreds of VMs are maintained and moved within half a minute while workers are
+cut off and leaders change.  A leader's knowledge of a task is then a heartbeat
+old, or comes from its predecessor, and VMs are ordered while starts are being
+recorded.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 from wigeonreach.scheduling._maintenance import MaintenanceStep
 from wigeonreach.scheduling._moving_out import is_empty
 
-# More than a silent worker may take, less than its lease.
+# Longer than a worker may be silent and get new work; shorter than its lease.
 _SILENT_S = 1.5
 _DEFAULTS = SchedulingSettings()
 _SLOW_STOPS = SchedulingSettings(stop_s=0.9)
@@ -40,7 +40,7 @@
     spare: int = 5,
     settings: SchedulingSettings = _DEFAULTS,
 ) -> FakeLead:
-    """Return a leader of a serving step at work, one task a worker."""
+    """Return a leader with a running serving step, one task per worker."""
     lead = FakeLead(
         store_with(job(serving_step(tasks))),
         workers(tasks + spare),
@@ -59,7 +59,7 @@
     lead: FakeLead,
     settings: SchedulingSettings = _DEFAULTS,
 ) -> FakeLead:
-    """Return the leader after one, which has heard nobody yet."""
+    """Return the next leader, which has heard no worker yet."""
     return FakeLead(
         lead.store,
         lead.workers.values(),
@@ -75,7 +75,7 @@
 
 
 class TestMovingOut(testtools.TestCase):
-    """Which serving runs may be stopped."""
+    """Decisions on which serving runs may be stopped."""
 
     def _wave_step(self, lead: FakeLead) -> MaintenanceStep:
         return lead.scheduler.maintenance.step(
@@ -84,7 +84,7 @@
         )
 
     def test_task_of_a_silent_worker_may_be_away(self) -> None:
-        """Its lease may be over although its heartbeat told otherwise."""
+        """Its lease may have expired since its last heartbeat."""
         lead = _serving_lead()
         busy = [name for name, told in lead.workers.items() if told.running]
         silent = lead.workers.pop(busy[0])
@@ -113,7 +113,7 @@
             )
 
     def test_long_stop_by_an_earlier_leader_is_waited_for(self) -> None:
-        """Where stops take longer, a run is listed for longer while it ends."""
+        """With slower stops, a run is listed for longer while it ends."""
         lead = _serving_lead()
         busy = _busy_vms(lead)
         successor = _next_term(lead, _SLOW_STOPS)
@@ -128,7 +128,7 @@
             )
 
     def test_run_that_takes_long_to_stop_is_not_at_work(self) -> None:
-        """It is listed until it has ended, and another must not end meanwhile."""
+        """It is listed until it has ended, and no other may be stopped then."""
         lead = _serving_lead(settings=_SLOW_STOPS)
         first, second, _ = [
             told for told in lead.workers.values() if told.running
@@ -145,7 +145,7 @@
             for told in (first, second)
             if not leaving.intersection(told.running)
         )
-        # A third task fails, so that the stop is looked at again.
+        # A third task fails, so the stop is reviewed again.
         for told in lead.workers.values():
             if told not in (first, second) and told.running:
                 told.end(next(iter(told.running)), RunEnd.FAILED)
@@ -158,7 +158,7 @@
         self.assertThat(other.running, matchers.HasLength(1))
 
     def test_heartbeat_proves_no_work_beyond_the_notice(self) -> None:
-        """Where a task counts as away sooner, what was told is older sooner."""
+        """A shorter notice limits the age of a heartbeat that is relied on."""
         lead = _serving_lead(settings=_SHORT_NOTICE)
         busy = [told for told in lead.workers.values() if told.running]
         silent = lead.workers.pop(busy[0].name)
@@ -169,8 +169,8 @@
         lead.hear(silent)
         self.assertThat(self._wave_step(lead).stops, matchers.HasLength(1))
 
-    def test_stop_is_taken_back_until_it_is_told(self) -> None:
-        """Another task fails while the worker's answer is on its way."""
+    def test_stop_is_retracted_before_it_is_sent(self) -> None:
+        """Another task fails before the answer to the worker is sent."""
         lead = _serving_lead()
         first, second, _ = [
             told for told in lead.workers.values() if told.running
@@ -187,8 +187,8 @@
         self.assertThat(orders.stops, matchers.HasLength(0))
         self.assertThat(lead.scheduler.stopping, matchers.Equals(set()))
 
-    def test_stop_that_was_told_is_not_repeated_blindly(self) -> None:
-        """Another task failed since; it may have been lost, and would end two."""
+    def test_stop_that_was_sent_is_not_repeated_blindly(self) -> None:
+        """Another task failed since, so a repeat could make two unavailable."""
         lead = _serving_lead()
         first, second, third = [
             told for told in lead.workers.values() if told.running
@@ -202,11 +202,11 @@
         lead.hear(second)
         orders = lead.scheduler.answers.orders(incarnation, lead.now_s)
         self.assertThat(orders.stops, matchers.HasLength(0))
-        # Its worker may have carried it out all the same.
+        # The worker may still have carried out the stop.
         lead.start_wave([third.vm], limit=1, due_after_s=2)
         self.assertThat(self._wave_step(lead).stops, matchers.HasLength(0))
         self.assertThat(lead.scheduler.stopping, matchers.HasLength(1))
-        # Its answer was lost, as it still works: then it may stay.
+        # The run is still listed, so the answer was lost and the run may stay.
         lead.now_s += 1.6
         _hear_all(lead)
         orders = lead.scheduler.answers.orders(incarnation, lead.now_s)
@@ -214,7 +214,7 @@
         self.assertThat(lead.scheduler.stopping, matchers.HasLength(0))
 
     def test_late_heartbeat_proves_no_work(self) -> None:
-        """It was held up, and its worker may have gone down since it was sent."""
+        """It was delayed, and its worker may have failed since it was sent."""
         lead = _serving_lead()
         busy = [told for told in lead.workers.values() if told.running]
         for told in busy:
@@ -232,7 +232,7 @@
         self.assertThat(self._wave_step(lead).stops, matchers.HasLength(1))
 
     def test_run_that_may_be_at_work_by_now_stays(self) -> None:
-        """It was about to serve when it was last heard; another is away."""
+        """It was about to serve when last heard; another is unavailable."""
         lead = _serving_lead()
         first, second, _ = [
             told for told in lead.workers.values() if told.running
@@ -248,7 +248,7 @@
             self.assertThat(stopped, matchers.HasLength(stops))
 
     def _let_pass(self, lead: FakeLead, for_s: float) -> None:
-        """Hear all workers for some time while nothing new is started."""
+        """Hear all workers for some time without starting anything."""
         until_s = lead.now_s + for_s
         _hear_all(lead)
         while lead.now_s < until_s:
@@ -256,7 +256,7 @@
             _hear_all(lead)
 
     def test_other_run_of_a_task_is_not_at_work(self) -> None:
-        """A worker lists one that it stops; the task's newest is not there."""
+        """A worker lists an older run of the task, but not its current one."""
         lead = _serving_lead()
         first = next(
             told
@@ -275,7 +275,7 @@
     """VMs that look empty while a start on them is being recorded."""
 
     def _start_is_decided(self, lead: FakeLead) -> str:
-        """Decide a start, as a leader whose commit takes its time."""
+        """Plan a start without recording it, as if its commit took a while."""
         commit(
             lead.store,
             AddJob(job(step(1), job_id=OTHER_JOB), QUEUE),
@@ -285,7 +285,7 @@
         return starts[0].worker
 
     def test_vm_is_not_maintained_under_a_start(self) -> None:
-        """The order would end what begins there a moment later."""
+        """The order would end the run that is about to begin."""
         lead = FakeLead(store_with(), workers(1))
         _hear_all(lead)
         self._start_is_decided(lead)
@@ -294,7 +294,7 @@
         self.assertThat(found.orders, matchers.HasLength(0))
 
     def test_vm_is_not_moved_under_a_start(self) -> None:
-        """A pool that wants it gets it only when nothing is to begin there."""
+        """A VM is moved only if no run is about to begin on it."""
         lead = FakeLead(store_with(), workers(1))
         _hear_all(lead)
         worker = self._start_is_decided(lead)
@@ -305,7 +305,7 @@
         )
 
     def test_start_that_was_never_recorded_holds_nothing(self) -> None:
-        """With the next plan it is over, one way or the other."""
+        """By the next plan the start is either recorded or void."""
         lead = FakeLead(store_with(), workers(1))
         _hear_all(lead)
         worker = self._start_is_decided(lead)
@@ -315,7 +315,7 @@
         self.assertThat(is_empty(incarnation, lead.store), matchers.Is(True))
 
     def test_nothing_starts_under_an_earlier_leaders_order(self) -> None:
-        """The platform may carry it out a while after its leader has gone."""
+        """The platform may carry out the order after its leader is gone."""
         for is_answered in (False, True):
             store = store_with()
             before = FakeLead(store, workers(1))
@@ -334,7 +334,7 @@
             self.assertThat(lead.plan(), later)
 
     def test_nothing_starts_until_an_order_is_recorded(self) -> None:
-        """A VM is kept free from when it is found empty."""
+        """A VM is cordoned as soon as it is found empty."""
         lead = FakeLead(store_with(), workers(1))
         _hear_all(lead)
         lead.start_wave(['vm0'], limit=1)
