--- a/tests/scheduling/test_random_moving.py
+++ b/tests/scheduling/test_random_moving.py
@@ -1,8 +1,9 @@
-"""Play waves, drains and faults at random, and count what is away of each step.
+"""Simulate random waves, drains and faults, and count unavailable tasks.
 
-Pattern: every VM is maintained while workers are cut off, crash and drain, answers
-are lost, leaders change, and starts and orders take a commit to be recorded.  What
-is away is counted here by what workers did, not by what a leader believes.
+Every VM is maintained while workers are cut off, crash and drain, answers are
+lost, leaders change, and starts and orders need a commit to be recorded.
+Unavailable tasks are counted from what the workers did, not from the leader's
+view.
 """
 
 from __future__ import annotations
@@ -44,14 +45,14 @@
 _STEPS = 450
 _VMS = 14
 _TASKS = 6
-# From a start until a serving task is at work, and until it counts as away
-# whatever the cause, in steps.
+# Steps from a start until a serving task serves, and until a task that does not
+# serve counts as unavailable, whatever the cause.
 _STARTUP_STEPS = 5
 _NOTICE_STEPS = 65
-# What a stop takes at most, in steps; the run is listed meanwhile.
+# Greatest length of a stop in steps; the run is listed until it ends.
 _STOP_STEPS = 4
 _MAINTENANCE_STEPS = 20
-# After this a worker sends its next heartbeat, answered or not.
+# Timeout of a heartbeat in steps; the worker then sends the next one.
 _GIVEN_UP_STEPS = 10
 _HOLD_STEPS = 8
 _WHOLE = 100
@@ -59,26 +60,26 @@
 
 @dataclasses.dataclass(slots=True)
 class _Vm:
-    """A VM, the incarnation of its worker, and what disturbs it."""
+    """A VM, the incarnation of its worker, and its current faults."""
 
     name: str
     worker: StandInWorker
     down_until: int = 0
     cut_until: int = 0
-    # When each serving run began, and when those that stop will have ended.
+    # When each serving run began, and when each run being stopped will end.
     began: dict[Run, int] = dataclasses.field(default_factory=dict)
     stops: dict[Run, int] = dataclasses.field(default_factory=dict)
-    # The answer on its way, and to which heartbeat.
+    # The answer in flight, and when its heartbeat was sent.
     orders: tuple[int, WorkerOrders] | None = None
 
     @property
     def is_sound(self) -> bool:
-        """Whether what is ended here would have gone on."""
+        """Whether a run on it would continue without an order."""
         return not self.worker.is_draining
 
 
 class _Day:
-    """One day, drawn from a seed."""
+    """A simulated day, determined by a seed."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -92,7 +93,7 @@
             _Vm(f'vm{number}', StandInWorker(f'w{number}', f'vm{number}'))
             for number in range(_VMS)
         ]
-        # What was ended by an order, and since when each task is not at work.
+        # Tasks that an order ended, and since when each task is not serving.
         self.ended_by_order: set[TaskKey] = set()
         self.not_at_work_since: dict[TaskKey, int] = {}
         self.unrecorded: tuple[RunStarted, ...] = ()
@@ -101,7 +102,7 @@
         commit(self.store, AddJob(job(serving, job_id='a' * 16), QUEUE))
 
     def step(self) -> None:
-        """Let a tenth of a second pass."""
+        """Simulate a tenth of a second."""
         self.now += 1
         self.lead.now_s = self.now * _STEP_S
         self._disturb()
@@ -129,7 +130,7 @@
         if self._happens(8) and not vm.worker.is_draining:
             vm.worker.is_draining = True
         if self._happens(8):
-            # What the former leader decided and did not record is void.
+            # Unrecorded decisions of the former leader are void.
             self.unrecorded = ()
             self.vm_orders.clear()
             self.lead = FakeLead(
@@ -157,7 +158,7 @@
         self.not_at_work_since.setdefault(run[0], self.now)
 
     def _live(self, vm: _Vm) -> None:
-        """Let tasks come to work, end and lapse; send a heartbeat."""
+        """Advance, end and lapse a worker's runs, and send its heartbeat."""
         if self.now < vm.down_until:
             return
         worker = vm.worker
@@ -206,7 +207,7 @@
             vm.worker.end(run, RunEnd.FAILED)
 
     def _send(self, vm: _Vm) -> None:
-        """Let a heartbeat be heard, unless the last is still unanswered."""
+        """Send a heartbeat, unless the last one is still unanswered."""
         if vm.orders is None:
             vm.orders = (self.now, WorkerOrders())
             self.lead.hear(vm.worker)
@@ -215,7 +216,7 @@
         lead = self.lead
         lost = lead.scheduler.lost(lead.now_s)
         commit(self.store, RecordRuns(lead.term, ends=lost))
-        # Orders for VMs are decided while starts are on their way.
+        # Orders for VMs are decided while starts are not recorded yet.
         found = lead.scheduler.maintenance.step(
             lead.scheduler.stopping,
             lead.now_s,
@@ -259,7 +260,7 @@
         sent, _ = vm.orders
         known = self.lead.scheduler.workers.incarnations.get(vm.worker.name)
         is_lost = self.now < vm.cut_until or self._happens(30)
-        # A heartbeat is held until there is something to order, or for a while.
+        # The answer to a heartbeat is held back for a while.
         is_held = sent > self.now - _HOLD_STEPS and self._happens(600)
         is_lost = is_lost or is_held or self.now < vm.down_until
         sequence = known.report.sequence if known else 0
@@ -276,7 +277,7 @@
             if run in vm.began and run not in vm.stops:
                 self._end_by_order(vm, run)
                 vm.stops[run] = self.now + self.rng.randint(1, _STOP_STEPS)
-        # A serving run that is told to stop is listed until it has ended.
+        # A serving run that is being stopped is listed until it has ended.
         stops = tuple(
             stop
             for stop in orders.stops
@@ -288,7 +289,7 @@
                 vm.began[start.task, start.run] = self.now
 
     def _end_by_order(self, vm: _Vm, run: Run) -> None:
-        """Take note that an order ends a serving run, if it may."""
+        """Record that an order ends a serving run; check its step's limit."""
         is_at_work = self.now - vm.began[run] >= _STARTUP_STEPS
         away = {
             key
@@ -298,7 +299,7 @@
             >= _NOTICE_STEPS
         }
         if is_at_work and vm.is_sound and len(away) >= self.may_miss:
-            raise BrokenRuleError(f'{run}: {len(away)} others are away')
+            raise BrokenRuleError(f'{run}: {len(away)} others are unavailable')
         self.ended_by_order.add(run[0])
         self._note_away(run)
 
@@ -316,13 +317,13 @@
 
 
 class TestPlantedFault(testtools.TestCase):
-    """A variant that such days have to find out."""
+    """A deliberate fault that the simulation has to detect."""
 
     def test_stops_that_are_forgotten_are_found(self) -> None:
-        """A run that is being stopped counts as at work while it is listed."""
+        """Every run counts as serving, even while it is being stopped."""
         forgetful = mock.patch.object(
             _moving_out,
-            '_lists_at_work',
+            '_is_listed_serving',
             lambda incarnation, run: True,
         )
         with forgetful:
@@ -334,9 +335,9 @@
 
 
 class TestRandomMoving(testtools.TestCase):
-    """Days of waves, each with another seed."""
+    """Days with waves, each with its own seed."""
 
     def test_no_more_is_away_than_a_step_may_miss(self) -> None:
-        """Whatever comes together, orders leave enough at work."""
+        """Orders keep the limit of the step whatever faults coincide."""
         for seed in range(_DAYS):
             _play(seed)
--- a/tests/scheduling/test_restarts.py
+++ b/tests/scheduling/test_restarts.py
@@ -1,7 +1,7 @@
-"""Test that nothing of one life of a worker passes to its next.
+"""Test that no state of one incarnation of a worker passes to its next.
 
-Answers workers that start again under their id: whatever is known by a
-worker's name, from leases to tickets, is of one life of it.
+A worker may restart under the same id.  All state that is kept by a worker's
+name, from leases to tickets, belongs to a single incarnation.
 """
 
 from __future__ import annotations
@@ -49,7 +49,8 @@
 _LATER_MS = _BORN_MS + 3000
 _COMPLETED = matchers.Equals(JobPhase.COMPLETED)
 _WHOLE_ROOM = 16_000
-# A life is proved to be over once the next has gone on for a second.
+# Enough rounds to prove that an incarnation has ended, as its successor was
+# heard for a second.
 _PROVED_ROUNDS = 15
 
 
@@ -61,11 +62,11 @@
     commit(store, AddJob(spec, QUEUE))
 
 
-class TestNextLife(testtools.TestCase):
-    """What a worker is given after it has started again."""
+class TestNextIncarnation(testtools.TestCase):
+    """Work that a worker gets after its restart."""
 
     def test_work_does_not_wait_for_its_sequence(self) -> None:
-        """The life before had sent hundreds of heartbeats."""
+        """The incarnation before had sent hundreds of heartbeats."""
         worker = _worker()
         played = WorkingFleet(store_with(), worker)
         played.run(300)
@@ -74,8 +75,8 @@
         played.run(_PROVED_ROUNDS)
         self.assertThat(played.phase(), _COMPLETED)
 
-    def test_clock_may_step_back_between_lives(self) -> None:
-        """The next life then has the lower start."""
+    def test_clock_may_step_back_between_incarnations(self) -> None:
+        """The next incarnation then has the lower start time."""
         worker = _worker()
         played = WorkingFleet(store_with(job(step(4))), worker)
         played.run(50)
@@ -85,8 +86,8 @@
         self.assertThat(played.phase(OTHER_JOB), _COMPLETED)
         self.assertThat(set(played.begun.values()), matchers.Equals({1}))
 
-    def test_each_of_several_lives_is_its_own(self) -> None:
-        """Some are over before they could be told from a late heartbeat."""
+    def test_each_of_several_incarnations_is_separate(self) -> None:
+        """Some end before they are proved to be more than a late heartbeat."""
         worker = _worker()
         played = WorkingFleet(store_with(), worker)
         for life in range(1, 6):
@@ -99,8 +100,8 @@
         for job_id in played.store.jobs:
             self.assertThat(played.phase(job_id), _COMPLETED)
 
-    def test_drain_of_the_life_before_is_over(self) -> None:
-        """A worker that drained, went down and is back takes work."""
+    def test_restart_ends_the_drain(self) -> None:
+        """A worker that drained and restarted accepts work."""
         worker = _worker()
         played = WorkingFleet(store_with(), worker)
         worker.is_draining = True
@@ -111,7 +112,7 @@
         self.assertThat(played.phase(), _COMPLETED)
 
     def test_vm_may_be_in_another_pool(self) -> None:
-        """A VM that was moved has its worker's id, and another service."""
+        """The worker of a moved VM keeps its id, but has another service."""
         worker = _worker()
         played = WorkingFleet(store_with(), worker)
         services = (ServiceSpec(SERVICE), ServiceSpec('other'))
@@ -125,8 +126,8 @@
         assert newest is not None
         self.assertThat(newest.report.service, matchers.Equals('other'))
 
-    def test_checkpoint_goes_on_in_the_next_life(self) -> None:
-        """What a task saved is the task's, wherever it ran."""
+    def test_checkpoint_is_kept_across_incarnations(self) -> None:
+        """A checkpoint belongs to the task, wherever it ran."""
         worker = _worker()
         lead = FakeLead(store_with(job(step(1, saves_progress=True))), [worker])
         lead.round()
@@ -143,11 +144,11 @@
         self.assertThat(worker.running, matchers.HasLength(1))
 
 
-class TestRunsOfTheLifeBefore(testtools.TestCase):
-    """What a worker had when it went down."""
+class TestRunsOfTheFormerIncarnation(testtools.TestCase):
+    """Runs that a worker had when it failed."""
 
     def test_runs_are_begun_again_soon(self) -> None:
-        """A second after the next life is heard, without waiting for a lease."""
+        """This takes a second after the restart, less than a lease."""
         store = store_with(job(step(2)))
         worker = _worker()
         lead = FakeLead(store, [worker])
@@ -162,7 +163,7 @@
         )
 
     def test_gang_is_begun_again_as_a_whole(self) -> None:
-        """The members that went on are ended first."""
+        """The members that still run are ended first."""
         gang = step(2, is_gang=True, cpu_millicores=_WHOLE_ROOM)
         workers = [_worker(0), _worker(1)]
         lead = FakeLead(store_with(job(gang)), workers)
@@ -175,7 +176,7 @@
         self.assertThat(runs, matchers.Equals({2}))
 
     def test_copies_count_once(self) -> None:
-        """The first copy was on a worker that has started again."""
+        """The first copy was on a worker that has restarted."""
         workers = [_worker(0), _worker(1)]
         played = WorkingFleet(
             store_with(job(step(4, has_copies=True))), *workers
@@ -186,19 +187,19 @@
         played.run(_PROVED_ROUNDS * 2)
         self.assertThat(played.phase(), _COMPLETED)
 
-    def test_change_of_leader_between_lives(self) -> None:
-        """The next leader heard nothing of the life before."""
+    def test_change_of_leader_between_incarnations(self) -> None:
+        """The next leader never heard the incarnation before."""
         worker = _worker()
         played = WorkingFleet(store_with(job(step(3))), worker)
         played.lead.round()
         worker.restart(_LATER_MS)
-        played.lead_anew()
+        played.change_leader()
         played.run(int(LEASE_OVER_S * 10) + 5)
         self.assertThat(played.phase(), _COMPLETED)
         self.assertThat(set(played.begun.values()), matchers.Equals({1}))
 
-    def test_snapshot_keeps_lives_apart(self) -> None:
-        """Runs are recorded for the life that they were given to."""
+    def test_snapshot_keeps_incarnations_apart(self) -> None:
+        """Runs are recorded for the incarnation that got them."""
         store = store_with(job(step(2)))
         worker = _worker()
         FakeLead(store, [worker]).round()
@@ -211,11 +212,11 @@
         self.assertThat(held, matchers.HasLength(0))
 
 
-class TestLateWords(testtools.TestCase):
-    """What the life before sent, and comes after the next is heard."""
+class TestLateMessages(testtools.TestCase):
+    """Messages of an incarnation that arrive after its successor is heard."""
 
     def setUp(self) -> None:
-        """Hold a heartbeat up until its sender has started again."""
+        """Delay a heartbeat until its sender has restarted."""
         super().setUp()
         self.worker = _worker()
         self.played = WorkingFleet(store_with(), self.worker)
@@ -224,7 +225,7 @@
         self.worker.restart(_LATER_MS)
 
     def test_late_heartbeat_changes_nothing(self) -> None:
-        """It gets no lease, and no run is lost or given by it."""
+        """It gets no lease, and it neither loses nor assigns a run."""
         _accept(self.played.store, job(step(2)))
         self.played.run(_PROVED_ROUNDS)
         heard = self.played.lead.take(self.late)
@@ -232,10 +233,10 @@
         self.played.run(5)
         self.assertThat(self.played.phase(), _COMPLETED)
 
-    def test_new_leader_gives_nothing_to_the_life_before(self) -> None:
-        """It hears the next life first, then the late heartbeat."""
+    def test_new_leader_gives_no_work_to_the_former_incarnation(self) -> None:
+        """It hears the new incarnation first, then the late heartbeat."""
         self.played.run(5)
-        self.played.lead_anew()
+        self.played.change_leader()
         lead = self.played.lead
         lead.round()
         lead.take(self.late)
@@ -247,8 +248,8 @@
             matchers.Equals({1}),
         )
 
-    def test_farewell_of_the_life_before_ends_nothing(self) -> None:
-        """It names the id alone, and whoever ends drains before."""
+    def test_leave_of_the_former_incarnation_ends_nothing(self) -> None:
+        """The message has only the id, and no incarnation of it drains."""
         self.played.run(_PROVED_ROUNDS)
         lead = self.played.lead
         lead.scheduler.workers.leave('i-0', lead.now_s)
@@ -256,8 +257,8 @@
         self.played.run(10)
         self.assertThat(self.played.phase(), _COMPLETED)
 
-    def test_farewell_ends_the_life_that_drains(self) -> None:
-        """Its lease need not be waited for."""
+    def test_leave_ends_the_draining_incarnation(self) -> None:
+        """It ends at once, before its lease expires."""
         self.played.run(_PROVED_ROUNDS)
         self.worker.is_draining = True
         lead = self.played.lead
@@ -271,14 +272,14 @@
         )
 
     def test_heartbeat_without_a_start_is_foreign(self) -> None:
-        """Nobody knows of which life it is."""
+        """It can't be attributed to an incarnation."""
         self.played.run(_PROVED_ROUNDS)
         nameless = StandInWorker('i-0', 'vm0', sequence=999)
         heard = self.played.lead.take(nameless.report())
         self.assertThat(heard, matchers.Is(None))
 
-    def test_end_of_the_life_before_counts(self) -> None:
-        """What ended well is not begun again, whoever tells it late."""
+    def test_end_of_the_former_incarnation_counts(self) -> None:
+        """A run that succeeded is not restarted, even if reported late."""
         worker = _worker()
         store = store_with(job(step(1)))
         lead = FakeLead(store, [worker])
@@ -292,10 +293,10 @@
 
 
 class TestTickets(testtools.TestCase):
-    """Tickets of the advisor, each for one life of a worker."""
+    """Tickets of the advisor, each for one incarnation of a worker."""
 
-    def test_ticket_of_the_life_before_starts_nothing(self) -> None:
-        """The worker would refuse it."""
+    def test_ticket_of_the_former_incarnation_starts_nothing(self) -> None:
+        """The worker would refuse the ticket."""
         store = JobStore()
         policy = AdvicePolicy(20, 5, 3000)
         commit(store, SetManifest(manifest(queue(advice=policy))))
@@ -324,8 +325,8 @@
 class TestWaves(testtools.TestCase):
     """VMs whose workers have the same ids before and after maintenance."""
 
-    def test_vm_is_back_once_its_next_life_goes_on(self) -> None:
-        """Its worker is called as before."""
+    def test_vm_is_back_once_its_next_incarnation_is_proven(self) -> None:
+        """Its worker has the same id as before."""
         worker = _worker()
         lead = _lead_with_order(worker)
         worker.restart(_LATER_MS)
@@ -336,7 +337,7 @@
         self.assertThat(step_now.returned, matchers.Equals([(1, 'vm0')]))
 
     def test_vm_of_an_unheard_worker_with_tasks_waits(self) -> None:
-        """The platform's list names ids, and no life of them."""
+        """The platform's list contains ids, but no incarnations."""
         store = store_with(job(serving_step(1)))
         worker = _worker()
         FakeLead(store, [worker]).round()
@@ -348,7 +349,7 @@
         self.assertThat(step_now.orders, matchers.HasLength(0))
 
     def test_vm_that_is_listed_long_after_its_order_is_back(self) -> None:
-        """Its worker is not heard, and has the id that it had."""
+        """Its worker is not heard, and has the same id as before."""
         worker = _worker()
         lead = _lead_with_order(worker)
         maintenance = lead.scheduler.maintenance
@@ -361,7 +362,7 @@
 
 
 def _lead_with_order(worker: StandInWorker) -> FakeLead:
-    """Return a lead whose order to maintain a worker's VM was confirmed."""
+    """Return a leader whose order to maintain a worker's VM is confirmed."""
     lead = FakeLead(store_with(), [worker])
     lead.round()
     lead.start_wave(('vm0',), limit=1)
--- a/tests/scheduling/test_scheduler.py
+++ b/tests/scheduling/test_scheduler.py
@@ -1,4 +1,4 @@
-"""Test what the leader of a term decides about workers and runs."""
+"""Test the leader's decisions about workers and runs."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     """Which tasks start, and where."""
 
     def test_step_waits_for_the_steps_before(self) -> None:
-        """A step starts after all tasks of those that it depends on."""
+        """A step starts after all tasks of the steps that it depends on."""
         store = store_with(job(step(2), step(1, after=(0,))))
         lead = FakeLead(store, workers(2))
         lead.round()
@@ -51,7 +51,7 @@
         self.assertThat(running, matchers.Equals([(key(0, 1), 1)]))
 
     def test_room_of_a_stopping_run_is_taken(self) -> None:
-        """What is being stopped takes room until its end is listed."""
+        """A run being stopped uses resources until its end is listed."""
         store = store_with(job(step(1, cpu_millicores=_FULL)))
         lead = FakeLead(store, workers(1))
         lead.round()
@@ -64,7 +64,7 @@
         self.assertThat(left.processors, matchers.Equals(0))
 
     def test_draining_worker_gets_nothing(self) -> None:
-        """A start that it was given but did not begin is reassigned."""
+        """A run that was assigned to it but did not begin is reassigned."""
         store = store_with(job())
         lead = FakeLead(store, workers(1))
         lead.hear(lead.workers['w0'])
@@ -80,7 +80,7 @@
         )
 
     def test_worker_of_another_service_gets_nothing(self) -> None:
-        """An address that another service took over runs none of it."""
+        """A worker of another service gets none of the service's tasks."""
         lead = FakeLead(
             store_with(job()),
             [StandInWorker('w0', 'vm0', service='other')],
@@ -89,7 +89,7 @@
         self.assertThat(lead.workers['w0'].running, matchers.HasLength(0))
 
     def test_failed_task_tries_another_worker(self) -> None:
-        """What failed on a worker goes elsewhere while there is room."""
+        """A task that failed on a worker goes elsewhere if there is room."""
         lead = FakeLead(store_with(job()), workers(2))
         lead.round()
         first = next(
@@ -100,7 +100,7 @@
         self.assertThat(first.running, matchers.HasLength(0))
 
     def test_gang_starts_whole_or_not_at_all(self) -> None:
-        """Members hold no room while others of them find none."""
+        """No member holds resources while another finds none."""
         gang = step(3, cpu_millicores=_FULL, is_gang=True)
         lead = FakeLead(store_with(job(gang)), workers(2))
         lead.round()
@@ -114,7 +114,7 @@
     """When a worker's runs may be reassigned."""
 
     def test_silent_worker_keeps_its_runs_for_its_lease(self) -> None:
-        """A task runs nowhere else before its lease is surely over."""
+        """A task runs nowhere else before the lease has certainly expired."""
         lead = FakeLead(store_with(job()), workers(1))
         lead.round()
         lead.now_s += LEASE_OVER_S - 0.05
@@ -133,7 +133,7 @@
         self.assertThat(lead.scheduler.lost(lead.now_s), matchers.HasLength(1))
 
     def test_order_that_had_no_effect_ends_no_incarnation(self) -> None:
-        """A platform also confirms what was done long before."""
+        """The platform also confirms orders that it carried out long before."""
         lead = FakeLead(store_with(job()), workers(1))
         lead.round()
         lead.scheduler.workers.note_ordered('w0', lead.now_s)
@@ -150,7 +150,7 @@
         )
 
     def test_ordered_worker_gets_nothing_new(self) -> None:
-        """It is about to end, whatever its last heartbeat said."""
+        """It is about to end, whatever its last heartbeat reported."""
         lead = FakeLead(store_with(), workers(1))
         lead.round()
         lead.scheduler.workers.note_ordered('w0', lead.now_s)
@@ -160,14 +160,14 @@
         )
 
     def test_late_heartbeat_changes_nothing(self) -> None:
-        """A heartbeat that was overtaken is not believed."""
+        """A heartbeat that was overtaken by a newer one is ignored."""
         lead = FakeLead(store_with(job()), workers(1))
         worker = lead.workers['w0']
         late = worker.report()
         lead.round()
         self.assertThat(lead.scheduler.hear(late, 5.0), matchers.Is(None))
 
-    def test_late_heartbeat_of_a_dead_life_ends_no_successor(self) -> None:
+    def test_late_heartbeat_of_an_ended_worker_ends_no_successor(self) -> None:
         """One heartbeat of an old incarnation does not end the new one."""
         lead = FakeLead(store_with(job()), [StandInWorker('new', 'vm0')])
         lead.round()
@@ -180,8 +180,8 @@
             matchers.Equals([(key(), 1)]),
         )
 
-    def test_successor_ends_an_old_life(self) -> None:
-        """A incarnation that goes on at a VM shows that the old one is gone."""
+    def test_successor_ends_an_old_incarnation(self) -> None:
+        """A live incarnation on a VM shows that the old one has ended."""
         lead = FakeLead(store_with(job()), [StandInWorker('old', 'vm0')])
         lead.round()
         lead.workers = {'new': StandInWorker('new', 'vm0')}
@@ -203,7 +203,7 @@
     """Ends that workers list until they are acknowledged."""
 
     def test_end_is_acknowledged_once(self) -> None:
-        """An end that is listed again is recorded once."""
+        """An end that is listed again is recorded only once."""
         lead = FakeLead(store_with(job(step(2))), workers(1))
         lead.round()
         worker = lead.workers['w0']
@@ -214,7 +214,7 @@
         self.assertThat(_ends(lead, worker.report()), matchers.HasLength(0))
 
     def test_cancelled_job_is_stopped(self) -> None:
-        """What runs of it is told to stop with the next answer."""
+        """The next answer stops the runs of the job."""
         lead = FakeLead(store_with(job(step(2))), workers(1))
         lead.round()
         lead.cancel()
@@ -227,10 +227,10 @@
 
 
 class TestStrangeReports(testtools.TestCase):
-    """Workers that tell of what nobody ordered."""
+    """Workers that list runs which no leader ordered."""
 
     def test_run_that_nobody_ordered_is_stopped(self) -> None:
-        """Whatever its name is, and the leader goes on."""
+        """The leader stops it whatever its key is, and does not fail."""
         lead = FakeLead(store_with(job()), workers(1))
         worker = lead.workers['w0']
         for strange in (key(7), key(0, 7), key(0, 0, '00000000000000ff')):
@@ -247,7 +247,7 @@
     """Serving tasks in a full pool."""
 
     def test_batch_work_gives_way(self) -> None:
-        """Batch work stops, and nothing else takes its room meanwhile."""
+        """Batch runs are stopped, and no other batch run takes their place."""
         filling = job(step(40, cpu_millicores=4000))
         lead = FakeLead(store_with(filling), workers(2))
         lead.round()
@@ -266,14 +266,14 @@
 
 
 class TestAgeOfJobs(testtools.TestCase):
-    """Jobs that were accepted before this leader led."""
+    """Jobs that were accepted before the leader's term."""
 
     def test_new_leader_knows_how_long_jobs_wait(self) -> None:
-        """By the time of day, as far as that can be true."""
+        """Their age follows from the time of day, within plausible limits."""
         now_s, wall_ms = 100.0, 1_000_000.0
         for accepted_ms, age_s in (
             (wall_ms - 3000, 3.0),
-            # Unknown, or a clock that was ahead or far behind.
+            # Unknown time, or a clock that was ahead or far behind.
             (0.0, 0.0),
             (wall_ms + 5000, 0.0),
             (wall_ms - 3_600_000, 30.0),
--- a/tests/scheduling/test_serving_stops.py
+++ b/tests/scheduling/test_serving_stops.py
@@ -1,7 +1,7 @@
-"""Test that a serving run ends by its job's cancelling, or when it may be away.
+"""Test that a serving run is stopped only if its job or its step allows it.
 
-All that ends serving runs by an order is played here: whichever decides it, the
-log tells which run is stopped and why.
+It is stopped if its job is cancelled, or within the limit of its step.
+Whatever decides the stop, the log shows which run is stopped and why.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 
 def _answer_all(lead: FakeLead) -> None:
-    """Hear all workers and send each its answer."""
+    """Hear all workers and send each one its answer."""
     for worker in lead.workers.values():
         lead.hear(worker)
         incarnation = lead.scheduler.workers.incarnations[worker.name]
@@ -44,10 +44,10 @@
 
 
 class TestReason(testtools.TestCase):
-    """What is logged of the stops of serving runs."""
+    """Notes for the log on the stops of serving runs."""
 
-    def test_stop_of_a_cancelled_job_is_told_once(self) -> None:
-        """Each run has one line, however often its stop is repeated."""
+    def test_stop_of_a_cancelled_job_is_logged_once(self) -> None:
+        """Each run has one note, however often its stop is repeated."""
         lead = FakeLead(store_with(job(serving_step(2))), workers(3))
         lead.round()
         lead.cancel()
@@ -64,10 +64,10 @@
 
 
 class TestGivenUp(testtools.TestCase):
-    """What ends jobs of other kinds ends no serving run."""
+    """Crashes and failures, which end batch jobs, end no serving run."""
 
     def setUp(self) -> None:
-        """Have a serving step at work."""
+        """Start a serving step."""
         super().setUp()
         self.store = store_with(job(serving_step(3), step(1)))
         self.lead = FakeLead(self.store, workers(3))
@@ -78,7 +78,7 @@
         commit(self.store, command)
 
     def _assert_serving(self) -> None:
-        """Check that nothing that serves is stopped, and that it may go on."""
+        """Check that no serving run is stopped and the job is active."""
         for worker in self.lead.workers.values():
             self.lead.hear(worker)
             incarnation = self.lead.scheduler.workers.incarnations[worker.name]
@@ -96,7 +96,7 @@
         self.assertThat(phase, matchers.Equals(JobPhase.ACTIVE))
 
     def test_crashes_of_its_workers_end_no_serving_job(self) -> None:
-        """A serving task that workers go down under again and again goes on."""
+        """A serving task whose workers crash again and again continues."""
         for evidence in CrashEvidence:
             for run in range(1, 7):
                 crashed = RunCrashed(key(0), run, evidence)
@@ -104,7 +104,7 @@
                 self._assert_serving()
 
     def test_failures_beside_it_end_no_serving_step(self) -> None:
-        """A task of the same job that can't be done is given up by itself."""
+        """A failing task of the same job is given up alone."""
         batch = key(0, 1)
         for run in range(1, 3):
             task = self.store.task_of(batch)
--- a/tests/scheduling/test_shrinking.py
+++ b/tests/scheduling/test_shrinking.py
@@ -1,9 +1,9 @@
-"""Test starts on workers whose room shrinks and grows again.
+"""Test starts on workers whose resources shrink and grow again.
 
-Answers workers that say of themselves that they have less than before.  Where
-they don't guard their room, each start that does not fit spoils what runs
-there, so what counts is the newest heartbeat, with all that runs, is being
-stopped or was given to them.
+A worker may report fewer resources than before.  If it does not enforce them,
+each start that does not fit disturbs its other runs.  Starts must therefore
+fit into the resources in its newest heartbeat, beside all runs that are
+listed, being stopped or assigned.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 def _used(worker: StandInWorker, store: JobStore) -> int:
-    """Return the thousandths of processors that runs on a worker take."""
+    """Return the millicores that the runs on a worker use."""
     return sum(
         store.jobs[task.job_id].step_spec(task).cpu_millicores
         for task, _ in worker.running
@@ -39,10 +39,10 @@
 
 
 class TestShrinkingRoom(testtools.TestCase):
-    """A worker with less room than before."""
+    """A worker with fewer resources than before."""
 
     def test_shrunk_worker_takes_only_what_fits(self) -> None:
-        """It counts from the heartbeat that tells of it."""
+        """The change counts from the heartbeat that reports it."""
         store = store_with(job(step(16)))
         lead = FakeLead(store, workers(1))
         lead.workers['w0'].cpu_millicores = _HALF
@@ -51,7 +51,7 @@
         self.assertThat(lead.workers['w0'].running, matchers.HasLength(8))
 
     def test_shrunk_worker_keeps_what_runs_and_takes_nothing(self) -> None:
-        """What runs goes on; nothing is added until there is room again."""
+        """Its runs continue, and none is added until there is room again."""
         store = store_with(job(step(20)))
         lead = FakeLead(store, workers(1))
         worker = lead.workers['w0']
@@ -66,8 +66,8 @@
         lead.round()
         self.assertThat(worker.running, matchers.HasLength(12))
 
-    def test_given_start_is_taken_back_when_it_fits_no_more(self) -> None:
-        """It was recorded, but not begun when the room shrank."""
+    def test_assigned_start_is_withdrawn_when_it_fits_no_more(self) -> None:
+        """It was recorded, but had not begun when the resources shrank."""
         store = store_with(job(step(16)))
         lead = FakeLead(store, workers(1))
         worker = lead.workers['w0']
@@ -84,19 +84,19 @@
         self.assertThat(waiting, matchers.HasLength(8))
 
     def test_what_is_being_stopped_counts_on_a_shrunk_worker(self) -> None:
-        """Its room is free once its end is listed, not before."""
+        """Its resources are free once its end is listed, not before."""
         store = store_with(job(step(16)), job(step(8), job_id='b' * 16))
         lead = FakeLead(store, workers(1))
         worker = lead.workers['w0']
         lead.round()
         worker.cpu_millicores = _HALF
         lead.cancel()
-        # Stops were ordered, and no end is listed yet.
+        # Stops were ordered, but no end is listed yet.
         lead.hear(worker)
         self.assertThat(lead.plan(), matchers.HasLength(0))
 
     def test_serving_tasks_wait_for_room_too(self) -> None:
-        """They come before batch work, but not over what a worker has."""
+        """They precede batch work, but don't exceed a worker's resources."""
         store = store_with(
             job(serving_step(2, cpu_millicores=9000, spread_limit=0)),
         )
@@ -106,8 +106,8 @@
             lead.round()
         self.assertThat(lead.workers['w0'].running, matchers.HasLength(0))
 
-    def test_no_start_goes_over_the_room_that_was_told(self) -> None:
-        """On many days, with rooms that change between any two heartbeats."""
+    def test_no_start_goes_over_the_reported_room(self) -> None:
+        """Many random runs, in which resources change with every heartbeat."""
         for seed in range(_DRAWS):
             rng = random.Random(seed)
             jobs = [
@@ -129,7 +129,7 @@
         rng: random.Random,
         seed: int,
     ) -> None:
-        """Change rooms, let runs end, and look at each start."""
+        """Change resources, end runs, and check each start."""
         for worker in lead.workers.values():
             worker.cpu_millicores = rng.choice((1000, 4000, _HALF, _FULL))
             for run in list(worker.running):
--- a/tests/scheduling/test_sound_beside_crashing.py
+++ b/tests/scheduling/test_sound_beside_crashing.py
@@ -1,7 +1,7 @@
-"""Test that sound jobs outlive the tasks that crash their workers, and crashes.
+"""Test that healthy jobs survive crashing tasks and crashes of workers.
 
-Pattern: tasks that crash each worker that starts them come among many that are
-sound, on a pool of which a third goes down by itself every few seconds.
+Tasks that crash each worker that starts them are mixed with many healthy ones,
+on a pool of which a third fails by itself every few seconds.
 """
 
 from __future__ import annotations
@@ -31,10 +31,10 @@
 
 
 class _Day:
-    """Jobs that come by chance, some of which crash their workers."""
+    """A random sequence of jobs, some of which crash their workers."""
 
     def __init__(self, seed: int, crash_share: float, every_s: float) -> None:
-        """Begin with a serving job alone."""
+        """Start with a single serving job."""
         self._random = random.Random(seed)
         self._crash_share = crash_share
         self._every_s = every_s
@@ -48,7 +48,7 @@
         )
 
     def play(self) -> None:
-        """Let jobs come, then let all of them end."""
+        """Submit jobs for a while, then let all of them end."""
         next_crash_s = 5.0
         while self.fleet.lead.now_s < _DAY_S:
             self._accept()
@@ -59,7 +59,7 @@
         self.fleet.run(_SETTLED_S)
 
     def given_up(self) -> set[str]:
-        """Return the jobs that ended without being done."""
+        """Return the jobs that failed."""
         return _jobs(self.store, JobPhase.FAILED)
 
     def bad_jobs(self) -> set[str]:
@@ -67,7 +67,7 @@
         return {task.job_id for task in self.bad}
 
     def most_starts(self) -> int:
-        """Return how often a task that crashes its workers was started."""
+        """Return the greatest number of starts of a crashing task."""
         starts = [len(self.fleet.starts[task]) for task in self.bad]
         return max(starts, default=0)
 
@@ -89,7 +89,7 @@
 
 
 def _racks(count: int) -> list[StandInWorker]:
-    """Return workers, four of each rack."""
+    """Return workers, four per rack and eight per zone."""
     fleet = workers(count)
     for number, worker in enumerate(fleet):
         worker.rack = f'r{number // 4}'
@@ -104,29 +104,29 @@
 
 
 class TestSoundJobs(testtools.TestCase):
-    """Days by seed."""
+    """Simulated days, by seed."""
 
     def _assert_sound(self, day: _Day) -> None:
         day.play()
         sound = day.given_up() - day.bad_jobs()
         self.assertThat(sound, matchers.HasLength(0))
-        # What is waited for at the end is a task that crashes its workers.
+        # Only jobs with crashing tasks may still be active at the end.
         left = _jobs(day.store, JobPhase.ACTIVE) - day.bad_jobs()
         self.assertThat(left, matchers.Equals({_SERVING}))
         allowed = matchers.LessThan(MOST_STARTS + 1)
         self.assertThat(day.most_starts(), allowed)
 
     def test_tasks_that_crash_their_workers_cost_no_sound_job(self) -> None:
-        """Whatever runs beside them, and however often it is lost."""
+        """Healthy jobs are done, however often their runs are lost."""
         for seed in range(6):
             self._assert_sound(_Day(seed, 0, 0))
 
     def test_nor_do_crashes_beside_them(self) -> None:
-        """A third of the pool goes down at once every few seconds."""
+        """A third of the pool fails at once every few seconds."""
         for seed in range(6):
             self._assert_sound(_Day(seed, 0.35, 4.5))
 
     def test_nor_do_single_crashes(self) -> None:
-        """Workers go down one by one, each for a cause of its own."""
+        """Workers fail one by one, each for a reason of its own."""
         for seed in range(6):
             self._assert_sound(_Day(seed, 0.08, 0.9))
--- a/tests/scheduling/test_stale_heartbeats.py
+++ b/tests/scheduling/test_stale_heartbeats.py
@@ -1,17 +1,14 @@
 """Test heartbeats that reach a new leader after a former one answered them.
 
-Seen: four tasks that had ended well were begun again, 0.2 s after a change of
-leader, in one of twenty drawn days.
-
-How it came about: a core process still held a worker's heartbeat when the
-leader lost its power, and passed it on to the next leader.  The former leader
-had got it on another way and answered it: the worker had begun four runs that
-this heartbeat does not list.
-
-Cause: what a heartbeat does not list counted as not begun, and what does not
-fit beside the runs that it lists was taken back and started elsewhere.  The
-log proved it: the ends are `refused` at the first heartbeat of the worker in
-the term, whose sequence the former leader had answered 1.3 s before.
+Guards against this failure: in one of twenty random days, four tasks that had
+succeeded were started again 0.2 s after a change of leader.
+
+A core process still held a worker's heartbeat when the leader lost power, and
+forwarded it to the next leader.  The former leader had received it another way
+and had answered it 1.3 s before, so the worker had begun four runs that the
+heartbeat does not list.  The next leader took these runs as not begun,
+withdrew those that did not fit beside the listed ones (their ends were
+`refused`), and started them elsewhere.
 """
 
 from __future__ import annotations
@@ -57,7 +54,7 @@
     """A heartbeat that a former leader has answered with starts."""
 
     def setUp(self) -> None:
-        """Fill a worker's room twice, the second time behind a heartbeat."""
+        """Fill a worker twice, the second time after the heartbeat was sent."""
         super().setUp()
         self.store = store_with(job(step(1, cpu_millicores=_HALF)))
         self.worker = StandInWorker('w0', 'vm0', cpu_millicores=_HALF)
@@ -65,14 +62,14 @@
         self.lead.round()
         self.stale = self.worker.report()
         self.lead.take(self.stale)
-        # The first run ends, its end is told, and another begins.
+        # The first run ends, its end is reported, and another run begins.
         self.worker.end((key(), 1), RunEnd.DONE)
         other = job(step(1, cpu_millicores=_HALF), job_id=OTHER_JOB)
         commit(self.store, AddJob(other, 'bookings'))
         self.lead.round()
 
-    def test_what_it_does_not_list_is_not_begun_again(self) -> None:
-        """The next leader waits for what the worker says after it."""
+    def test_run_that_it_does_not_list_is_not_begun_again(self) -> None:
+        """The next leader waits for the worker's next heartbeat."""
         running = matchers.HasLength(1)
         self.assertThat(self.worker.running, running)
         after = FakeLead(
@@ -89,7 +86,7 @@
         self.assertThat(self.worker.running, running)
 
     def test_room_that_shrank_is_seen_once_the_worker_is_known(self) -> None:
-        """A start that was lost with the former leader is taken back later."""
+        """A start that was lost with the former leader is withdrawn later."""
         self.worker.running.clear()
         after = FakeLead(
             self.store,
@@ -107,7 +104,7 @@
 
 
 class TestTickets(testtools.TestCase):
-    """A run that began with a ticket which the next leader does not know."""
+    """A run that began with a ticket that the next leader does not have."""
 
     def test_run_is_not_begun_again_for_want_of_a_ticket(self) -> None:
         """Tickets are not replicated, and the heartbeat is stale."""
--- a/tests/scheduling/test_workers.py
+++ b/tests/scheduling/test_workers.py
@@ -1,4 +1,4 @@
-"""Test how incarnations of workers are followed, one by one and in fleets."""
+"""Test how incarnations of workers are tracked."""
 
 from __future__ import annotations
 
@@ -23,120 +23,120 @@
 
 
 class TestWorkers(testtools.TestCase):
-    """Which incarnations go on and which are over."""
+    """Decisions on which incarnations are alive and which have ended."""
 
     def setUp(self) -> None:
-        """Follow nobody yet."""
+        """Track no worker yet."""
         super().setUp()
-        self.followed = Workers(0)
+        self.tracked = Workers(0)
 
     def test_only_a_silent_worker_is_over(self) -> None:
-        """Each lease is looked at when it is due, and again when it lasts."""
+        """A lease is checked when it may expire, and again if renewed."""
         heard, silent = workers(2)
         for worker in (heard, silent):
-            self.followed.hear(worker.report(), 0)
+            self.tracked.hear(worker.report(), 0)
         now_s = 0.0
         while now_s < LEASE_OVER_S - _SOON_S:
             now_s += _SOON_S
-            self.followed.hear(heard.report(), now_s)
-            self.assertThat(self.followed.ended(now_s), matchers.Equals({}))
-        ended = self.followed.ended(LEASE_OVER_S)
+            self.tracked.hear(heard.report(), now_s)
+            self.assertThat(self.tracked.ended(now_s), matchers.Equals({}))
+        ended = self.tracked.ended(LEASE_OVER_S)
         self.assertThat(set(ended), matchers.Equals({'w1'}))
-        ended = self.followed.ended(now_s + LEASE_OVER_S)
+        ended = self.tracked.ended(now_s + LEASE_OVER_S)
         self.assertThat(set(ended), matchers.Equals({'w0'}))
 
     def test_worker_that_was_cut_off_returns(self) -> None:
-        """It gets work again once it was heard for a while, not at once."""
+        """It gets work again after it was heard for a while, not at once."""
         worker = workers(1)[0]
-        self.followed.hear(worker.report(), 0)
-        self.followed.ended(LEASE_OVER_S)
+        self.tracked.hear(worker.report(), 0)
+        self.tracked.ended(LEASE_OVER_S)
         back_s = LEASE_OVER_S + 5
-        returned = self.followed.hear(worker.report(), back_s)
+        returned = self.tracked.hear(worker.report(), back_s)
         assert returned is not None
-        self.assertThat(self.followed.is_over('w0', back_s), matchers.Is(False))
+        self.assertThat(self.tracked.is_over('w0', back_s), matchers.Is(False))
         self.assertThat(returned.may_take(back_s), matchers.Is(False))
-        self.followed.hear(worker.report(), back_s + 1.2)
+        self.tracked.hear(worker.report(), back_s + 1.2)
         self.assertThat(returned.may_take(back_s + 1.2), matchers.Is(True))
 
     def test_repeated_heartbeat_is_no_older_one(self) -> None:
-        """Who passed it on lost the answer; the worker waits for one."""
+        """The forwarding process lost the answer; the worker waits for one."""
         worker = workers(1)[0]
         report = worker.report()
-        first = self.followed.hear(report, 0)
-        again = self.followed.hear(report, _SOON_S)
+        first = self.tracked.hear(report, 0)
+        again = self.tracked.hear(report, _SOON_S)
         assert first is not None
         self.assertThat(again, matchers.Is(first))
-        # Its lease counts from when it was sent.
+        # The repeat does not extend its lease, which counts from the first one.
         self.assertThat(first.heard_s, matchers.Equals(0))
         worker.report()
-        self.followed.hear(worker.report(), _SOON_S)
+        self.tracked.hear(worker.report(), _SOON_S)
         self.assertThat(
-            self.followed.hear(report, _SOON_S),
+            self.tracked.hear(report, _SOON_S),
             matchers.Is(None),
         )
 
     def test_old_heartbeat_brings_nobody_back(self) -> None:
-        """One that was sent before those that were heard, and came later."""
+        """A heartbeat that was overtaken by a later one is ignored."""
         worker = workers(1)[0]
         old = worker.report()
-        self.followed.hear(worker.report(), 0)
-        self.followed.ended(LEASE_OVER_S)
+        self.tracked.hear(worker.report(), 0)
+        self.tracked.ended(LEASE_OVER_S)
         late_s = LEASE_OVER_S + 1
-        self.assertThat(self.followed.hear(old, late_s), matchers.Is(None))
+        self.assertThat(self.tracked.hear(old, late_s), matchers.Is(None))
 
     def test_worker_that_left_or_was_replaced_does_not_return(self) -> None:
-        """Its heartbeats were held up on their way."""
+        """Late heartbeats of either worker are ignored."""
         left, replaced = workers(2)
         for worker in (left, replaced):
-            self.followed.hear(worker.report(), 0)
-        self.followed.leave('w0', 0)
+            self.tracked.hear(worker.report(), 0)
+        self.tracked.leave('w0', 0)
         successor = StandInWorker('new', 'vm1')
         for now_s in (2.0, 3.0, LEASE_OVER_S):
-            self.followed.hear(successor.report(), now_s)
-            self.followed.ended(now_s)
+            self.tracked.hear(successor.report(), now_s)
+            self.tracked.ended(now_s)
         for worker in (left, replaced):
-            late = self.followed.hear(worker.report(), LEASE_OVER_S + 1)
+            late = self.tracked.hear(worker.report(), LEASE_OVER_S + 1)
             self.assertThat(late, matchers.Is(None), worker.name)
 
     def test_lapsed_worker_does_not_return_beside_a_successor(self) -> None:
         """A VM has one worker at a time."""
         old, new = StandInWorker('old', 'vm'), StandInWorker('new', 'vm')
-        self.followed.hear(old.report(), 0)
-        self.followed.ended(LEASE_OVER_S)
-        self.followed.hear(new.report(), LEASE_OVER_S + 1)
-        late = self.followed.hear(old.report(), LEASE_OVER_S + 2)
+        self.tracked.hear(old.report(), 0)
+        self.tracked.ended(LEASE_OVER_S)
+        self.tracked.hear(new.report(), LEASE_OVER_S + 1)
+        late = self.tracked.hear(old.report(), LEASE_OVER_S + 2)
         self.assertThat(late, matchers.Is(None))
 
     def test_successor_on_a_vm_ends_the_silent_incarnation(self) -> None:
-        """And the VM's newest incarnation is known from its first word on."""
+        """The VM's newest incarnation is known from its first heartbeat on."""
         old, new = StandInWorker('old', 'vm'), StandInWorker('new', 'vm')
-        self.followed.hear(old.report(), 0)
+        self.tracked.hear(old.report(), 0)
         for now_s in (1.0, 1.5, 2.5):
-            self.followed.hear(new.report(), now_s)
-            of_vm = self.followed.of_vm('vm')
+            self.tracked.hear(new.report(), now_s)
+            of_vm = self.tracked.of_vm('vm')
             assert of_vm is not None
             self.assertThat(of_vm.report.worker, matchers.Equals('new'))
-        self.assertThat(set(self.followed.ended(2.5)), matchers.Equals({'old'}))
+        self.assertThat(set(self.tracked.ended(2.5)), matchers.Equals({'old'}))
 
     def test_worker_that_names_another_vm_is_found_there(self) -> None:
-        """The index follows the newest heartbeat."""
+        """The index uses the VM in the newest heartbeat."""
         worker = StandInWorker('w', 'first')
-        self.followed.hear(worker.report(), 0)
+        self.tracked.hear(worker.report(), 0)
         worker.vm = 'second'
-        self.followed.hear(worker.report(), _SOON_S)
-        self.assertThat(self.followed.of_vm('first'), matchers.Is(None))
+        self.tracked.hear(worker.report(), _SOON_S)
+        self.assertThat(self.tracked.of_vm('first'), matchers.Is(None))
         self.assertThat(
-            self.followed.of_vm('second'), matchers.Not(matchers.Is(None))
+            self.tracked.of_vm('second'), matchers.Not(matchers.Is(None))
         )
-        self.followed.ended(_SOON_S + LEASE_OVER_S)
-        self.assertThat(self.followed.of_vm('second'), matchers.Is(None))
+        self.tracked.ended(_SOON_S + LEASE_OVER_S)
+        self.assertThat(self.tracked.of_vm('second'), matchers.Is(None))
 
 
 class TestRoomOfWorkers(testtools.TestCase):
-    """Room is counted anew whenever something changed on a worker."""
+    """Free resources are recomputed after every change on a worker."""
 
     def test_room_follows_starts_ends_and_reports(self) -> None:
-        """A start takes room, its end gives it back."""
+        """A start uses resources, and its end frees them."""
         store = store_with(job(step(1)))
         lead = FakeLead(store, workers(1))
         worker = lead.workers['w0']
@@ -152,7 +152,7 @@
         self.assertThat(self._left(lead), matchers.Equals(8))
 
     def test_start_that_is_not_recorded_takes_no_room(self) -> None:
-        """A plan whose record failed is made again on the same room."""
+        """A plan whose record failed is repeated with the same resources."""
         store = store_with(job(step(1)))
         lead = FakeLead(store, workers(1))
         lead.hear(lead.workers['w0'])
@@ -167,15 +167,15 @@
 
 
 class TestLeases(testtools.TestCase):
-    """Answers that are held until there is something to order.
+    """Answers that are held back until there are orders.
 
-    Pattern: an election takes a second or two, in which workers' heartbeats
-    wait at processes that know no leader, so that a worker with serving tasks
-    has little of its lease left when the next leader hears it.
+    An election takes a second or two, in which heartbeats wait at processes
+    that know no leader.  A worker with serving tasks therefore has little of
+    its lease left when the next leader hears it.
     """
 
     def setUp(self) -> None:
-        """Let a task serve on one of two workers, under a new leader."""
+        """Start a serving task on one of two workers, under a new leader."""
         super().setUp()
         first = FakeLead(store_with(job(serving_step(1))), workers(2))
         first.round()
@@ -202,7 +202,7 @@
         return answer is not None
 
     def test_first_answer_of_a_term_is_not_held(self) -> None:
-        """The lease is the former leader's, and older than it looks."""
+        """The lease was renewed by the former leader, earlier than it seems."""
         self.assertThat(self._is_answered(), matchers.Is(True))
         self.lead.now_s += 0.1
         self.assertThat(self._is_answered(), matchers.Is(False))
@@ -210,7 +210,7 @@
         self.assertThat(self._is_answered(0.75), matchers.Is(True))
 
     def test_answer_after_one_that_was_lost_is_not_held(self) -> None:
-        """A worker that got no answer sends again after a second."""
+        """A worker without an answer sends again after a second."""
         self.assertThat(self._is_answered(), matchers.Is(True))
         self.lead.now_s += 1.02
         self.assertThat(self._is_answered(), matchers.Is(True))
