--- a/src/wigeonreach/scheduling/_answers.py
+++ b/src/wigeonreach/scheduling/_answers.py
@@ -68,7 +68,7 @@
             ValidTickets(self._advice, now_s),
             self._term,
         )
-        incarnation.told = frozenset(
+        incarnation.ordered_starts = frozenset(
             (start.task, start.run) for start in orders.starts
         )
         return orders
--- a/src/wigeonreach/scheduling/_crashes.py
+++ b/src/wigeonreach/scheduling/_crashes.py
@@ -287,7 +287,7 @@
         """
         listed = {(row.task, row.run) for row in incarnation.running}
         held = self._store.held_by(incarnation.report.worker).items()
-        begun = incarnation.told.union(
+        begun = incarnation.ordered_starts.union(
             run for run in held if not incarnation.has_not_begun(run)
         )
         return {
--- a/src/wigeonreach/scheduling/_ends.py
+++ b/src/wigeonreach/scheduling/_ends.py
@@ -39,7 +39,7 @@
         self._advice = advice
         self._stopping = stopping
 
-    def told(self, incarnation: Incarnation) -> tuple[RunEnded, ...]:
+    def reported(self, incarnation: Incarnation) -> tuple[RunEnded, ...]:
         """Return the reported ends that are not recorded yet."""
         listed = {(row.task, row.run) for row in incarnation.running}
         return tuple(
--- a/src/wigeonreach/scheduling/_incarnation.py
+++ b/src/wigeonreach/scheduling/_incarnation.py
@@ -84,7 +84,7 @@
     has_unrecorded_start: bool = False
     lease_renewed_s: float = float('-inf')
     unlisted_starts: set[Run] = dataclasses.field(default_factory=set)
-    told: frozenset[Run] = frozenset()
+    ordered_starts: frozenset[Run] = frozenset()
     sent_s: float = float('-inf')
     _send_time: SendTimeEstimator = dataclasses.field(
         default_factory=SendTimeEstimator
--- a/src/wigeonreach/scheduling/_maintenance.py
+++ b/src/wigeonreach/scheduling/_maintenance.py
@@ -70,7 +70,7 @@
     disruption_budget
         Decides which serving runs may be stopped.
     maintained_s
-        How long a VM is away for its maintenance.
+        How long a VM is unavailable during its maintenance.
     """
 
     def __init__(
@@ -112,7 +112,7 @@
 
     @property
     def is_active(self) -> bool:
-        """Whether a wave is under way."""
+        """Whether a wave is in progress."""
         return any(not wave.is_done for wave in self._store.waves.values())
 
     @property
@@ -278,8 +278,8 @@
             if other.report.service == incarnation.report.service
         ]
         emptying = self._emptying
-        away = sum(other in emptying for other in pool)
-        return away < max(1, round(len(pool) * _MAX_POOL_RATIO))
+        unavailable = sum(other in emptying for other in pool)
+        return unavailable < max(1, round(len(pool) * _MAX_POOL_RATIO))
 
     def _has_unheard_work(self, vm: str) -> bool:
         """Whether a VM's worker, not heard in this term, has assigned runs."""
--- a/src/wigeonreach/scheduling/_moving_out.py
+++ b/src/wigeonreach/scheduling/_moving_out.py
@@ -246,12 +246,12 @@
         may_miss = (
             _DEFAULT_MAX_UNAVAILABLE if spec.may_miss is None else spec.may_miss
         )
-        away = sum(
+        unavailable = sum(
             not self._is_serving(other, job, leaving, now_s)
             for other in job.step_keys(key)
             if other != key
         )
-        return away < may_miss
+        return unavailable < may_miss
 
     def _is_serving(
         self,
--- a/src/wigeonreach/scheduling/_orders.py
+++ b/src/wigeonreach/scheduling/_orders.py
@@ -203,9 +203,9 @@
 ) -> Iterator[StopOrder]:
     for row in incarnation.running:
         job = store.job_of(row.task)
-        is_wanted = held.get(row.task) == row.run
+        is_assigned = held.get(row.task) == row.run
         is_active = job is not None and job.is_active
-        if not is_wanted or not is_active or (row.task, row.run) in stopping:
+        if not is_assigned or not is_active or (row.task, row.run) in stopping:
             yield StopOrder(row.task, row.run)
 
 
--- a/src/wigeonreach/scheduling/_scheduler.py
+++ b/src/wigeonreach/scheduling/_scheduler.py
@@ -143,7 +143,7 @@
             return None
         if before is not None and before.sequence == report.sequence:
             # The repeat is already applied, but its ends may not be recorded.
-            return Heard(incarnation, tuple(self._ends.told(incarnation)))
+            return Heard(incarnation, tuple(self._ends.reported(incarnation)))
         self._rooms.forget(report.worker)
         self.crashes.note_heard(incarnation)
         self.caps.strays.note_heard(incarnation)
@@ -151,7 +151,7 @@
         paced = self.pacing.note(incarnation, self._store)
         self._add_note(LogEvent.WORKER_PACED, incarnation, paced)
         ends = (
-            *self._ends.told(incarnation),
+            *self._ends.reported(incarnation),
             *self._ends.withdrawn(incarnation),
         )
         for ended in ends:
@@ -171,8 +171,8 @@
         """Add notes for changes that a worker reports of itself."""
         report = incarnation.report
         if before is None and incarnation.first_heard_s < now_s:
-            gone = 'heard again after its lease expired'
-            self._add_note(LogEvent.WORKER_RETURNED, incarnation, gone)
+            returned = 'heard again after its lease expired'
+            self._add_note(LogEvent.WORKER_RETURNED, incarnation, returned)
         if report.is_draining and not (before and before.is_draining):
             left = f'has {report.drain_left_ms} ms left'
             self._add_note(LogEvent.WORKER_DRAINING, incarnation, left)
--- a/src/wigeonreach/scheduling/_stops.py
+++ b/src/wigeonreach/scheduling/_stops.py
@@ -99,9 +99,11 @@
         """Stop a worker's runs without progress and count them as failures."""
         worker = incarnation.report.worker
         pace = self._pacing.pace(worker)
-        still = self._progress.note(incarnation, self._store, pace, now_s)
+        without_progress = self._progress.note(
+            incarnation, self._store, pace, now_s
+        )
         stalled: list[Run] = []
-        for run in still:
+        for run in without_progress:
             if run in self._stopping or not self._disruption_budget.may_stop(
                 run,
                 incarnation,
@@ -123,13 +125,17 @@
         if now_s < self._next_check_s:
             return
         self._next_check_s = now_s + _STRAGGLER_CHECK_S
-        for found in laggards(incarnations, self._progress, self._store, now_s):
-            runs = set(found.runs) - self._stopping
+        for straggler in laggards(
+            incarnations, self._progress, self._store, now_s
+        ):
+            runs = set(straggler.runs) - self._stopping
             if runs:
                 self._stopping.update(runs)
-                times = f'{found.slower_times:.1f} times as long'
+                times = f'{straggler.slower_times:.1f} times as long'
                 why = f'{len(runs)} runs, {times}'
-                self._notes.append(Note(LogEvent.RUNS_MOVED, found.worker, why))
+                self._notes.append(
+                    Note(LogEvent.RUNS_MOVED, straggler.worker, why)
+                )
 
     def _count_failure(self, worker: str, job_id: str, now_s: float) -> None:
         if self.quarantine.note_failed(worker, job_id, now_s):
--- a/src/wigeonreach/scheduling/_workers.py
+++ b/src/wigeonreach/scheduling/_workers.py
@@ -36,7 +36,7 @@
     ----------
     incarnations
         The tracked incarnations, by name.
-    lives
+    by_vm
         The same, by VM.
     """
 
--- a/tests/builders_crashes.py
+++ b/tests/builders_crashes.py
@@ -92,12 +92,12 @@
 
     def round(self) -> None:
         """Simulate a tenth of a second."""
-        self._bring_back()
+        self._replace_down()
         self.lead.round(_ROUND_S)
         for worker in self.up:
             self._work(worker)
 
-    def take_down(
+    def crash_workers(
         self,
         workers: Iterable[StandInWorker],
         back_after_s: float | None = None,
@@ -116,7 +116,7 @@
         term = self.lead.term + 1
         self.lead = FakeLead(self._store, self.up, term, self.lead.now_s)
 
-    def _bring_back(self) -> None:
+    def _replace_down(self) -> None:
         now_s = self.lead.now_s
         due = [down for down in self._down if down.back_s <= now_s]
         for down in due:
@@ -140,7 +140,7 @@
         now_s = self.lead.now_s
         self._note_begun(worker)
         if any(self._crashes(key) for key, _ in worker.running):
-            self.take_down((worker,))
+            self.crash_workers((worker,))
             return
         for ending in list(worker.running):
             if self._store.is_serving(ending[0]):
--- a/tests/builders_days.py
+++ b/tests/builders_days.py
@@ -80,8 +80,8 @@
         for machine in self.machines:
             self._live(machine)
         self.lead.plan()
-        for told in self.machines:
-            self._answer(told)
+        for answered in self.machines:
+            self._answer(answered)
         self.check()
 
     def disturb(self) -> None:
--- a/tests/builders_restarts.py
+++ b/tests/builders_restarts.py
@@ -52,7 +52,7 @@
         self.restart(self.born_ms + int(after_s * _MS_PER_S))
 
     def _body(self) -> dict[str, object]:
-        told: dict[str, object] = {
+        body: dict[str, object] = {
             'service': self.service,
             'address': '10.0.0.9:8080',
             'zone': self.zone,
@@ -68,8 +68,8 @@
             'finished': [_end_row(ended) for ended in self.ended],
         }
         if self.born_ms is not None:
-            told['born'] = self.born_ms
-        return told
+            body['born'] = self.born_ms
+        return body
 
 
 class WorkingFleet:
--- a/tests/scheduling/test_crashing.py
+++ b/tests/scheduling/test_crashing.py
@@ -186,7 +186,7 @@
         self.assertThat(crash_counts(store), matchers.Equals([0]))
 
 
-class TestKinds(testtools.TestCase):
+class TestStepKinds(testtools.TestCase):
     """Other kinds of steps that crash their workers."""
 
     def test_gang_with_such_a_member_is_given_up(self) -> None:
@@ -226,7 +226,7 @@
         fleet = CrashingFleet(store, workers(6), crashes_nothing)
         for _ in range(8):
             fleet.run(20)
-            fleet.take_down(worker for worker in fleet.up if worker.running)
+            fleet.crash_workers(worker for worker in fleet.up if worker.running)
         fleet.run(10)
         self.assertThat(phase_of(store), _ACTIVE)
         self.assertThat(crash_counts(store), matchers.Equals([0]))
@@ -252,7 +252,7 @@
         self.assertThat(running, matchers.HasLength(3))
 
 
-class TestKeptApart(testtools.TestCase):
+class TestIsolation(testtools.TestCase):
     """How tasks that may crash their workers are isolated."""
 
     def test_after_two_crashes_a_task_runs_alone(self) -> None:
--- a/tests/scheduling/test_foreign.py
+++ b/tests/scheduling/test_foreign.py
@@ -46,7 +46,7 @@
         self.assertThat(known.report.service, matchers.Equals('desk'))
         self.assertThat(known.heard_s, matchers.Equals(self.lead.now_s))
 
-    def test_copy_of_a_heartbeat_tells_nothing_new(self) -> None:
+    def test_copy_of_a_heartbeat_changes_nothing(self) -> None:
         """Only the first heartbeat with a sequence number is applied."""
         worker = next(
             known for known in self.lead.workers.values() if known.running
@@ -61,7 +61,7 @@
         self.assertThat(heard.ends, matchers.Equals(()))
         self.assertThat(heard.incarnation.report, matchers.Equals(sent))
 
-    def test_worker_of_a_dropped_service_is_followed(self) -> None:
+    def test_worker_of_a_dropped_service_is_tracked(self) -> None:
         """Its runs still have to end and to be acknowledged."""
         worker = next(
             known for known in self.lead.workers.values() if known.running
--- a/tests/scheduling/test_maintenance.py
+++ b/tests/scheduling/test_maintenance.py
@@ -231,12 +231,12 @@
     def test_wave_with_time_takes_few_vms_at_once(self) -> None:
         """Five VMs at 5 s each fit one by one into four fifths of 32 s."""
         self._start(due_after_s=32.0)
-        self.assertThat(self._taken(), matchers.HasLength(1))
+        self.assertThat(self._chosen(), matchers.HasLength(1))
 
     def test_wave_with_less_time_takes_two_at_once(self) -> None:
         """They don't all fit one by one into four fifths of 25 s."""
         self._start(due_after_s=25.0)
-        self.assertThat(self._taken(), matchers.HasLength(2))
+        self.assertThat(self._chosen(), matchers.HasLength(2))
 
     def test_idle_vms_are_taken_as_allowed(self) -> None:
         """Idle VMs are taken up to the limit, as nothing runs on them."""
@@ -244,28 +244,28 @@
         self.lead.round()
         self.lead.round()
         self._start(due_after_s=25.0)
-        self.assertThat(self._taken(), matchers.HasLength(4))
+        self.assertThat(self._chosen(), matchers.HasLength(4))
 
     def test_wave_that_is_short_of_time_goes_to_its_limit(self) -> None:
         """The time of the wave is too short to go slower."""
         self._start(due_after_s=4.0)
-        self.assertThat(self._taken(), matchers.HasLength(4))
+        self.assertThat(self._chosen(), matchers.HasLength(4))
 
     def test_wave_that_falls_behind_takes_more(self) -> None:
         """Most of its time has passed and no VM is done."""
         self._start(due_after_s=25.0)
-        self._taken()
+        self._chosen()
         self.lead.now_s += 18
-        self.assertThat(self._taken(), matchers.HasLength(4))
+        self.assertThat(self._chosen(), matchers.HasLength(4))
 
     def test_wave_of_a_former_leader_goes_to_its_limit(self) -> None:
         """The new leader does not know how much of its time is left."""
         self._start(due_after_s=25.0)
         before = self.lead
         after = before.now_s
-        told = before.workers.values()
-        self._lead(FakeLead(before.store, told, before.term + 1, after))
-        self.assertThat(self._taken(), matchers.HasLength(4))
+        fleet = before.workers.values()
+        self._lead(FakeLead(before.store, fleet, before.term + 1, after))
+        self.assertThat(self._chosen(), matchers.HasLength(4))
 
     def _lead(self, lead: FakeLead) -> None:
         self.lead = lead
@@ -277,7 +277,7 @@
         vms = [f'vm{number}' for number in range(5)]
         self.lead.start_wave(vms, limit=4, due_after_s=due_after_s)
 
-    def _taken(self) -> set[str]:
+    def _chosen(self) -> set[str]:
         found = self.maintenance.step(set(), self.lead.now_s)
         ordered = {vm for _, vm, _ in found.orders}
         return ordered | self.maintenance.cordoned
--- a/tests/scheduling/test_moving_out.py
+++ b/tests/scheduling/test_moving_out.py
@@ -74,7 +74,7 @@
         lead.hear(worker)
 
 
-class TestMovingOut(testtools.TestCase):
+class TestDisruptionBudget(testtools.TestCase):
     """Decisions on which serving runs may be stopped."""
 
     def _wave_step(self, lead: FakeLead) -> MaintenanceStep:
@@ -83,10 +83,14 @@
             lead.now_s,
         )
 
-    def test_task_of_a_silent_worker_may_be_away(self) -> None:
+    def test_task_of_a_silent_worker_may_be_unavailable(self) -> None:
         """Its lease may have expired since its last heartbeat."""
         lead = _serving_lead()
-        busy = [name for name, told in lead.workers.items() if told.running]
+        busy = [
+            name
+            for name, candidate in lead.workers.items()
+            if candidate.running
+        ]
         silent = lead.workers.pop(busy[0])
         lead.now_s += _SILENT_S
         _hear_all(lead)
@@ -127,11 +131,13 @@
                 matchers.HasLength(stops),
             )
 
-    def test_run_that_takes_long_to_stop_is_not_at_work(self) -> None:
+    def test_run_that_takes_long_to_stop_is_not_serving(self) -> None:
         """It is listed until it has ended, and no other may be stopped then."""
         lead = _serving_lead(settings=_SLOW_STOPS)
         first, second, _ = [
-            told for told in lead.workers.values() if told.running
+            candidate
+            for candidate in lead.workers.values()
+            if candidate.running
         ]
         lead.start_wave([first.vm, second.vm], limit=2, due_after_s=2)
         lead.scheduler.stopping.update(self._wave_step(lead).stops)
@@ -141,14 +147,14 @@
             incarnation = lead.scheduler.workers.incarnations[worker.name]
             lead.scheduler.answers.orders(incarnation, lead.now_s)
         other = next(
-            told
-            for told in (first, second)
-            if not leaving.intersection(told.running)
+            candidate
+            for candidate in (first, second)
+            if not leaving.intersection(candidate.running)
         )
         # A third task fails, so the stop is reviewed again.
-        for told in lead.workers.values():
-            if told not in (first, second) and told.running:
-                told.end(next(iter(told.running)), RunEnd.FAILED)
+        for candidate in lead.workers.values():
+            if candidate not in (first, second) and candidate.running:
+                candidate.end(next(iter(candidate.running)), RunEnd.FAILED)
         lead.now_s += 1.8
         _hear_all(lead)
         for worker in lead.workers.values():
@@ -157,10 +163,14 @@
         self.assertThat(lead.scheduler.stopping, matchers.Equals(leaving))
         self.assertThat(other.running, matchers.HasLength(1))
 
-    def test_heartbeat_proves_no_work_beyond_the_notice(self) -> None:
+    def test_short_notice_limits_the_age_of_heartbeats(self) -> None:
         """A shorter notice limits the age of a heartbeat that is relied on."""
         lead = _serving_lead(settings=_SHORT_NOTICE)
-        busy = [told for told in lead.workers.values() if told.running]
+        busy = [
+            candidate
+            for candidate in lead.workers.values()
+            if candidate.running
+        ]
         silent = lead.workers.pop(busy[0].name)
         lead.now_s += 1.0
         _hear_all(lead)
@@ -173,7 +183,9 @@
         """Another task fails before the answer to the worker is sent."""
         lead = _serving_lead()
         first, second, _ = [
-            told for told in lead.workers.values() if told.running
+            candidate
+            for candidate in lead.workers.values()
+            if candidate.running
         ]
         lead.start_wave([first.vm], limit=1, due_after_s=2)
         found = self._wave_step(lead)
@@ -191,7 +203,9 @@
         """Another task failed since, so a repeat could make two unavailable."""
         lead = _serving_lead()
         first, second, third = [
-            told for told in lead.workers.values() if told.running
+            candidate
+            for candidate in lead.workers.values()
+            if candidate.running
         ]
         lead.start_wave([first.vm], limit=1, due_after_s=2)
         lead.scheduler.stopping.update(self._wave_step(lead).stops)
@@ -213,12 +227,16 @@
         self.assertThat(orders.stops, matchers.HasLength(0))
         self.assertThat(lead.scheduler.stopping, matchers.HasLength(0))
 
-    def test_late_heartbeat_proves_no_work(self) -> None:
+    def test_late_heartbeat_does_not_show_a_serving_task(self) -> None:
         """It was delayed, and its worker may have failed since it was sent."""
         lead = _serving_lead()
-        busy = [told for told in lead.workers.values() if told.running]
-        for told in busy:
-            told.clock_ms = 50_000
+        busy = [
+            candidate
+            for candidate in lead.workers.values()
+            if candidate.running
+        ]
+        for candidate in busy:
+            candidate.clock_ms = 50_000
         _hear_all(lead)
         lead.now_s += 3.0
         for prompt in busy[1:]:
@@ -231,11 +249,13 @@
         lead.hear(busy[0])
         self.assertThat(self._wave_step(lead).stops, matchers.HasLength(1))
 
-    def test_run_that_may_be_at_work_by_now_stays(self) -> None:
+    def test_run_that_may_be_serving_by_now_stays(self) -> None:
         """It was about to serve when last heard; another is unavailable."""
         lead = _serving_lead()
         first, second, _ = [
-            told for told in lead.workers.values() if told.running
+            candidate
+            for candidate in lead.workers.values()
+            if candidate.running
         ]
         lead.now_s += 0.2
         slow = next(iter(first.running))
@@ -243,11 +263,11 @@
         first.advance_one(slow, 60)
         second.end(next(iter(second.running)), RunEnd.FAILED)
         for waited_s, stops in ((0.0, 0), (4.5, 0), (4.5, 1)):
-            self._let_pass(lead, waited_s)
+            self._hear_for(lead, waited_s)
             stopped = lead.scheduler.stopping.intersection({slow})
             self.assertThat(stopped, matchers.HasLength(stops))
 
-    def _let_pass(self, lead: FakeLead, for_s: float) -> None:
+    def _hear_for(self, lead: FakeLead, for_s: float) -> None:
         """Hear all workers for some time without starting anything."""
         until_s = lead.now_s + for_s
         _hear_all(lead)
@@ -255,13 +275,13 @@
             lead.now_s += 0.5
             _hear_all(lead)
 
-    def test_other_run_of_a_task_is_not_at_work(self) -> None:
+    def test_older_run_of_a_task_is_not_serving(self) -> None:
         """A worker lists an older run of the task, but not its current one."""
         lead = _serving_lead()
         first = next(
-            told
-            for told in lead.workers.values()
-            if (key(0), 1) in told.running
+            candidate
+            for candidate in lead.workers.values()
+            if (key(0), 1) in candidate.running
         )
         row = first.running.pop((key(0), 1))
         first.advance_one((key(0), 9), row.percent)
@@ -271,10 +291,10 @@
         self.assertThat(self._wave_step(lead).stops, matchers.HasLength(0))
 
 
-class TestStartsOnTheirWay(testtools.TestCase):
+class TestUnrecordedStarts(testtools.TestCase):
     """VMs that look empty while a start on them is being recorded."""
 
-    def _start_is_decided(self, lead: FakeLead) -> str:
+    def _plan_start(self, lead: FakeLead) -> str:
         """Plan a start without recording it, as if its commit took a while."""
         commit(
             lead.store,
@@ -288,7 +308,7 @@
         """The order would end the run that is about to begin."""
         lead = FakeLead(store_with(), workers(1))
         _hear_all(lead)
-        self._start_is_decided(lead)
+        self._plan_start(lead)
         lead.start_wave(['vm0'], limit=1)
         found = lead.scheduler.maintenance.step(set(), lead.now_s)
         self.assertThat(found.orders, matchers.HasLength(0))
@@ -297,18 +317,18 @@
         """A VM is moved only if no run is about to begin on it."""
         lead = FakeLead(store_with(), workers(1))
         _hear_all(lead)
-        worker = self._start_is_decided(lead)
+        worker = self._plan_start(lead)
         incarnation = lead.scheduler.workers.incarnations[worker]
         self.assertThat(
             is_empty(incarnation, lead.store),
             matchers.Is(False),
         )
 
-    def test_start_that_was_never_recorded_holds_nothing(self) -> None:
+    def test_start_that_was_never_recorded_is_dropped(self) -> None:
         """By the next plan the start is either recorded or void."""
         lead = FakeLead(store_with(), workers(1))
         _hear_all(lead)
-        worker = self._start_is_decided(lead)
+        worker = self._plan_start(lead)
         lead.cancel(OTHER_JOB)
         lead.scheduler.plan(lead.now_s, 0)
         incarnation = lead.scheduler.workers.incarnations[worker]
--- a/tests/scheduling/test_random_moving.py
+++ b/tests/scheduling/test_random_moving.py
@@ -73,7 +73,7 @@
     orders: tuple[int, WorkerOrders] | None = None
 
     @property
-    def is_sound(self) -> bool:
+    def keeps_runs(self) -> bool:
         """Whether a run on it would continue without an order."""
         return not self.worker.is_draining
 
@@ -95,7 +95,7 @@
         ]
         # Tasks that an order ended, and since when each task is not serving.
         self.ended_by_order: set[TaskKey] = set()
-        self.not_at_work_since: dict[TaskKey, int] = {}
+        self.not_serving_since: dict[TaskKey, int] = {}
         self.unrecorded: tuple[RunStarted, ...] = ()
         self.vm_orders: list[tuple[int, int, str, str]] = []
         serving = serving_step(_TASKS, may_miss=self.may_miss)
@@ -109,8 +109,8 @@
         for vm in self.vms:
             self._live(vm)
         self._decide()
-        for told in self.vms:
-            self._answer(told)
+        for answered in self.vms:
+            self._answer(answered)
         self._order_vms()
 
     def _happens(self, per_mille: int) -> bool:
@@ -146,7 +146,7 @@
 
     def _crash(self, vm: _Vm, steps: int) -> None:
         for run in vm.began:
-            self._note_away(run)
+            self._note_unavailable(run)
         name = f'incarnation{next(self.serial)}'
         vm.worker = StandInWorker(name, vm.name)
         vm.down_until = self.now + steps
@@ -154,8 +154,8 @@
         vm.stops.clear()
         vm.orders = None
 
-    def _note_away(self, run: Run) -> None:
-        self.not_at_work_since.setdefault(run[0], self.now)
+    def _note_unavailable(self, run: Run) -> None:
+        self.not_serving_since.setdefault(run[0], self.now)
 
     def _live(self, vm: _Vm) -> None:
         """Advance, end and lapse a worker's runs, and send its heartbeat."""
@@ -185,7 +185,7 @@
         worker = vm.worker
         if self.lead.now_s > worker.lease_until_s:
             for run in list(worker.running):
-                self._note_away(run)
+                self._note_unavailable(run)
                 worker.end(run, RunEnd.LAPSED)
             vm.began.clear()
             vm.stops.clear()
@@ -199,11 +199,11 @@
             vm.worker.advance_one(run, _WHOLE)
             if run not in vm.stops:
                 self.ended_by_order.discard(run[0])
-                self.not_at_work_since.pop(run[0], None)
+                self.not_serving_since.pop(run[0], None)
         if self._happens(2):
             vm.began.pop(run)
             vm.stops.pop(run, None)
-            self._note_away(run)
+            self._note_unavailable(run)
             vm.worker.end(run, RunEnd.FAILED)
 
     def _send(self, vm: _Vm) -> None:
@@ -290,18 +290,20 @@
 
     def _end_by_order(self, vm: _Vm, run: Run) -> None:
         """Record that an order ends a serving run; check its step's limit."""
-        is_at_work = self.now - vm.began[run] >= _STARTUP_STEPS
-        away = {
+        is_serving = self.now - vm.began[run] >= _STARTUP_STEPS
+        unavailable = {
             key
             for key in self._others(run[0])
             if key in self.ended_by_order
-            or self.now - self.not_at_work_since.get(key, self.now)
+            or self.now - self.not_serving_since.get(key, self.now)
             >= _NOTICE_STEPS
         }
-        if is_at_work and vm.is_sound and len(away) >= self.may_miss:
-            raise BrokenRuleError(f'{run}: {len(away)} others are unavailable')
+        if is_serving and vm.keeps_runs and len(unavailable) >= self.may_miss:
+            raise BrokenRuleError(
+                f'{run}: {len(unavailable)} others are unavailable'
+            )
         self.ended_by_order.add(run[0])
-        self._note_away(run)
+        self._note_unavailable(run)
 
     def _others(self, key: TaskKey) -> list[TaskKey]:
         record = self.store.job_of(key)
@@ -316,7 +318,7 @@
     return day
 
 
-class TestPlantedFault(testtools.TestCase):
+class TestInjectedFault(testtools.TestCase):
     """A deliberate fault that the simulation has to detect."""
 
     def test_stops_that_are_forgotten_are_found(self) -> None:
@@ -337,7 +339,7 @@
 class TestRandomMoving(testtools.TestCase):
     """Days with waves, each with its own seed."""
 
-    def test_no_more_is_away_than_a_step_may_miss(self) -> None:
+    def test_orders_keep_the_limit_of_a_step(self) -> None:
         """Orders keep the limit of the step whatever faults coincide."""
         for seed in range(_DAYS):
             _play(seed)
--- a/tests/scheduling/test_restarts.py
+++ b/tests/scheduling/test_restarts.py
@@ -48,10 +48,10 @@
 _BORN_MS = 1_764_740_000_000
 _LATER_MS = _BORN_MS + 3000
 _COMPLETED = matchers.Equals(JobPhase.COMPLETED)
-_WHOLE_ROOM = 16_000
+_ALL_MILLICORES = 16_000
 # Enough rounds to prove that an incarnation has ended, as its successor was
 # heard for a second.
-_PROVED_ROUNDS = 15
+_PROVEN_ROUNDS = 15
 
 
 def _worker(number: int = 0, born_ms: int = _BORN_MS) -> StandInWorker:
@@ -68,61 +68,61 @@
     def test_work_does_not_wait_for_its_sequence(self) -> None:
         """The incarnation before had sent hundreds of heartbeats."""
         worker = _worker()
-        played = WorkingFleet(store_with(), worker)
-        played.run(300)
+        fleet = WorkingFleet(store_with(), worker)
+        fleet.run(300)
         worker.restart(_LATER_MS)
-        _accept(played.store, job(step(2)))
-        played.run(_PROVED_ROUNDS)
-        self.assertThat(played.phase(), _COMPLETED)
+        _accept(fleet.store, job(step(2)))
+        fleet.run(_PROVEN_ROUNDS)
+        self.assertThat(fleet.phase(), _COMPLETED)
 
     def test_clock_may_step_back_between_incarnations(self) -> None:
         """The next incarnation then has the lower start time."""
         worker = _worker()
-        played = WorkingFleet(store_with(job(step(4))), worker)
-        played.run(50)
+        fleet = WorkingFleet(store_with(job(step(4))), worker)
+        fleet.run(50)
         worker.restart(_BORN_MS - 5000)
-        _accept(played.store, job(step(4), job_id=OTHER_JOB))
-        played.run(_PROVED_ROUNDS)
-        self.assertThat(played.phase(OTHER_JOB), _COMPLETED)
-        self.assertThat(set(played.begun.values()), matchers.Equals({1}))
+        _accept(fleet.store, job(step(4), job_id=OTHER_JOB))
+        fleet.run(_PROVEN_ROUNDS)
+        self.assertThat(fleet.phase(OTHER_JOB), _COMPLETED)
+        self.assertThat(set(fleet.begun.values()), matchers.Equals({1}))
 
     def test_each_of_several_incarnations_is_separate(self) -> None:
         """Some end before they are proved to be more than a late heartbeat."""
         worker = _worker()
-        played = WorkingFleet(store_with(), worker)
-        for life in range(1, 6):
-            worker.restart(_BORN_MS + life)
-            job_id = f'{life:016x}'
-            _accept(played.store, job(step(3), job_id=job_id))
-            played.run(life * 4)
-        played.run(_PROVED_ROUNDS)
-        self.assertThat(set(played.begun.values()), matchers.Equals({1}))
-        for job_id in played.store.jobs:
-            self.assertThat(played.phase(job_id), _COMPLETED)
+        fleet = WorkingFleet(store_with(), worker)
+        for number in range(1, 6):
+            worker.restart(_BORN_MS + number)
+            job_id = f'{number:016x}'
+            _accept(fleet.store, job(step(3), job_id=job_id))
+            fleet.run(number * 4)
+        fleet.run(_PROVEN_ROUNDS)
+        self.assertThat(set(fleet.begun.values()), matchers.Equals({1}))
+        for job_id in fleet.store.jobs:
+            self.assertThat(fleet.phase(job_id), _COMPLETED)
 
     def test_restart_ends_the_drain(self) -> None:
         """A worker that drained and restarted accepts work."""
         worker = _worker()
-        played = WorkingFleet(store_with(), worker)
+        fleet = WorkingFleet(store_with(), worker)
         worker.is_draining = True
-        played.run(5)
+        fleet.run(5)
         worker.restart(_LATER_MS)
-        _accept(played.store, job(step(2)))
-        played.run(_PROVED_ROUNDS)
-        self.assertThat(played.phase(), _COMPLETED)
+        _accept(fleet.store, job(step(2)))
+        fleet.run(_PROVEN_ROUNDS)
+        self.assertThat(fleet.phase(), _COMPLETED)
 
     def test_vm_may_be_in_another_pool(self) -> None:
         """The worker of a moved VM keeps its id, but has another service."""
         worker = _worker()
-        played = WorkingFleet(store_with(), worker)
+        fleet = WorkingFleet(store_with(), worker)
         services = (ServiceSpec(SERVICE), ServiceSpec('other'))
         both = Manifest(2, (queue(),), services, document=b'2')
-        commit(played.store, SetManifest(both))
-        played.run(5)
+        commit(fleet.store, SetManifest(both))
+        fleet.run(5)
         worker.restart(_LATER_MS)
         worker.service = 'other'
-        played.lead.hear(worker)
-        newest = played.lead.scheduler.workers.of_vm('vm0')
+        fleet.lead.hear(worker)
+        newest = fleet.lead.scheduler.workers.of_vm('vm0')
         assert newest is not None
         self.assertThat(newest.report.service, matchers.Equals('other'))
 
@@ -136,7 +136,7 @@
         worker.ended = [EndedRun(1, *run, RunEnd.STOPPED, 'saved')]
         lead.hear(worker)
         worker.restart(_LATER_MS)
-        for _ in range(_PROVED_ROUNDS):
+        for _ in range(_PROVEN_ROUNDS):
             lead.round()
         task = lead.store.task_of(key())
         assert task is not None
@@ -147,7 +147,7 @@
 class TestRunsOfTheFormerIncarnation(testtools.TestCase):
     """Runs that a worker had when it failed."""
 
-    def test_runs_are_begun_again_soon(self) -> None:
+    def test_runs_are_restarted_soon(self) -> None:
         """This takes a second after the restart, less than a lease."""
         store = store_with(job(step(2)))
         worker = _worker()
@@ -155,22 +155,22 @@
         lead.round()
         self.assertThat(worker.running, matchers.HasLength(2))
         worker.restart(_LATER_MS)
-        for _ in range(_PROVED_ROUNDS):
+        for _ in range(_PROVEN_ROUNDS):
             lead.round()
         self.assertThat(
             {run for _, run in worker.running},
             matchers.Equals({2}),
         )
 
-    def test_gang_is_begun_again_as_a_whole(self) -> None:
+    def test_gang_is_restarted_as_a_whole(self) -> None:
         """The members that still run are ended first."""
-        gang = step(2, is_gang=True, cpu_millicores=_WHOLE_ROOM)
+        gang = step(2, is_gang=True, cpu_millicores=_ALL_MILLICORES)
         workers = [_worker(0), _worker(1)]
         lead = FakeLead(store_with(job(gang)), workers)
         lead.round()
         lead.round()
         workers[0].restart(_LATER_MS)
-        for _ in range(_PROVED_ROUNDS * 2):
+        for _ in range(_PROVEN_ROUNDS * 2):
             lead.round()
         runs = {run for worker in workers for _, run in worker.running}
         self.assertThat(runs, matchers.Equals({2}))
@@ -178,25 +178,25 @@
     def test_copies_count_once(self) -> None:
         """The first copy was on a worker that has restarted."""
         workers = [_worker(0), _worker(1)]
-        played = WorkingFleet(
+        fleet = WorkingFleet(
             store_with(job(step(4, has_copies=True))), *workers
         )
-        played.lead.round()
+        fleet.lead.round()
         for worker in workers:
             worker.restart(_LATER_MS)
-        played.run(_PROVED_ROUNDS * 2)
-        self.assertThat(played.phase(), _COMPLETED)
+        fleet.run(_PROVEN_ROUNDS * 2)
+        self.assertThat(fleet.phase(), _COMPLETED)
 
     def test_change_of_leader_between_incarnations(self) -> None:
         """The next leader never heard the incarnation before."""
         worker = _worker()
-        played = WorkingFleet(store_with(job(step(3))), worker)
-        played.lead.round()
+        fleet = WorkingFleet(store_with(job(step(3))), worker)
+        fleet.lead.round()
         worker.restart(_LATER_MS)
-        played.change_leader()
-        played.run(int(LEASE_OVER_S * 10) + 5)
-        self.assertThat(played.phase(), _COMPLETED)
-        self.assertThat(set(played.begun.values()), matchers.Equals({1}))
+        fleet.change_leader()
+        fleet.run(int(LEASE_OVER_S * 10) + 5)
+        self.assertThat(fleet.phase(), _COMPLETED)
+        self.assertThat(set(fleet.begun.values()), matchers.Equals({1}))
 
     def test_snapshot_keeps_incarnations_apart(self) -> None:
         """Runs are recorded for the incarnation that got them."""
@@ -219,29 +219,29 @@
         """Delay a heartbeat until its sender has restarted."""
         super().setUp()
         self.worker = _worker()
-        self.played = WorkingFleet(store_with(), self.worker)
-        self.played.run(20)
+        self.fleet = WorkingFleet(store_with(), self.worker)
+        self.fleet.run(20)
         self.late = self.worker.report()
         self.worker.restart(_LATER_MS)
 
     def test_late_heartbeat_changes_nothing(self) -> None:
         """It gets no lease, and it neither loses nor assigns a run."""
-        _accept(self.played.store, job(step(2)))
-        self.played.run(_PROVED_ROUNDS)
-        heard = self.played.lead.take(self.late)
+        _accept(self.fleet.store, job(step(2)))
+        self.fleet.run(_PROVEN_ROUNDS)
+        heard = self.fleet.lead.take(self.late)
         self.assertThat(heard, matchers.Is(None))
-        self.played.run(5)
-        self.assertThat(self.played.phase(), _COMPLETED)
+        self.fleet.run(5)
+        self.assertThat(self.fleet.phase(), _COMPLETED)
 
     def test_new_leader_gives_no_work_to_the_former_incarnation(self) -> None:
         """It hears the new incarnation first, then the late heartbeat."""
-        self.played.run(5)
-        self.played.change_leader()
-        lead = self.played.lead
+        self.fleet.run(5)
+        self.fleet.change_leader()
+        lead = self.fleet.lead
         lead.round()
         lead.take(self.late)
-        _accept(self.played.store, job(step(2)))
-        for _ in range(_PROVED_ROUNDS):
+        _accept(self.fleet.store, job(step(2)))
+        for _ in range(_PROVEN_ROUNDS):
             lead.round()
         self.assertThat(
             {run for _, run in self.worker.running},
@@ -250,18 +250,18 @@
 
     def test_leave_of_the_former_incarnation_ends_nothing(self) -> None:
         """The message has only the id, and no incarnation of it drains."""
-        self.played.run(_PROVED_ROUNDS)
-        lead = self.played.lead
+        self.fleet.run(_PROVEN_ROUNDS)
+        lead = self.fleet.lead
         lead.scheduler.workers.leave('i-0', lead.now_s)
-        _accept(self.played.store, job(step(2)))
-        self.played.run(10)
-        self.assertThat(self.played.phase(), _COMPLETED)
+        _accept(self.fleet.store, job(step(2)))
+        self.fleet.run(10)
+        self.assertThat(self.fleet.phase(), _COMPLETED)
 
     def test_leave_ends_the_draining_incarnation(self) -> None:
         """It ends at once, before its lease expires."""
-        self.played.run(_PROVED_ROUNDS)
+        self.fleet.run(_PROVEN_ROUNDS)
         self.worker.is_draining = True
-        lead = self.played.lead
+        lead = self.fleet.lead
         lead.round()
         lead.scheduler.workers.leave('i-0', lead.now_s)
         lead.now_s += 0.6
@@ -273,9 +273,9 @@
 
     def test_heartbeat_without_a_start_is_foreign(self) -> None:
         """It can't be attributed to an incarnation."""
-        self.played.run(_PROVED_ROUNDS)
+        self.fleet.run(_PROVEN_ROUNDS)
         nameless = StandInWorker('i-0', 'vm0', sequence=999)
-        heard = self.played.lead.take(nameless.report())
+        heard = self.fleet.lead.take(nameless.report())
         self.assertThat(heard, matchers.Is(None))
 
     def test_end_of_the_former_incarnation_counts(self) -> None:
--- a/tests/scheduling/test_scheduler.py
+++ b/tests/scheduling/test_scheduler.py
@@ -226,7 +226,7 @@
         )
 
 
-class TestStrangeReports(testtools.TestCase):
+class TestUnorderedRuns(testtools.TestCase):
     """Workers that list runs which no leader ordered."""
 
     def test_run_that_nobody_ordered_is_stopped(self) -> None:
@@ -243,10 +243,10 @@
         )
 
 
-class TestMakingRoom(testtools.TestCase):
+class TestPreemption(testtools.TestCase):
     """Serving tasks in a full pool."""
 
-    def test_batch_work_gives_way(self) -> None:
+    def test_batch_work_is_preempted(self) -> None:
         """Batch runs are stopped, and no other batch run takes their place."""
         filling = job(step(40, cpu_millicores=4000))
         lead = FakeLead(store_with(filling), workers(2))
--- a/tests/scheduling/test_serving_stops.py
+++ b/tests/scheduling/test_serving_stops.py
@@ -53,17 +53,17 @@
         lead.cancel()
         for _ in range(3):
             _answer_all(lead)
-        told = [
+        reasons = [
             note.reason
             for note in lead.scheduler.notes
             if note.event is LogEvent.RUNS_STOPPED
         ]
-        self.assertThat(told, matchers.HasLength(2))
-        for reason in told:
+        self.assertThat(reasons, matchers.HasLength(2))
+        for reason in reasons:
             self.assertThat(reason, matchers.EndsWith('job is cancelled'))
 
 
-class TestGivenUp(testtools.TestCase):
+class TestFailuresAndCrashes(testtools.TestCase):
     """Crashes and failures, which end batch jobs, end no serving run."""
 
     def setUp(self) -> None:
@@ -118,7 +118,9 @@
         for _ in range(5):
             self.lead.round()
         running = {
-            run for told in self.lead.workers.values() for run in told.running
+            run
+            for worker in self.lead.workers.values()
+            for run in worker.running
         }
         self.assertThat(
             {task for task, _ in running},
--- a/tests/scheduling/test_sound_beside_crashing.py
+++ b/tests/scheduling/test_sound_beside_crashing.py
@@ -55,7 +55,7 @@
             self.fleet.round()
             if self._every_s and self.fleet.lead.now_s >= next_crash_s:
                 next_crash_s += self._every_s
-                self._take_some_down()
+                self._crash_some()
         self.fleet.run(_SETTLED_S)
 
     def given_up(self) -> set[str]:
@@ -81,9 +81,9 @@
                 index = self._random.randrange(count)
                 self.bad.add(TaskKey(job_id, 0, 0, index))
 
-    def _take_some_down(self) -> None:
+    def _crash_some(self) -> None:
         up = self.fleet.up
-        self.fleet.take_down(
+        self.fleet.crash_workers(
             worker for worker in up if self._random.random() < self._crash_share
         )
 
@@ -103,30 +103,30 @@
     }
 
 
-class TestSoundJobs(testtools.TestCase):
+class TestHealthyJobs(testtools.TestCase):
     """Simulated days, by seed."""
 
-    def _assert_sound(self, day: _Day) -> None:
+    def _assert_only_bad_jobs_fail(self, day: _Day) -> None:
         day.play()
-        sound = day.given_up() - day.bad_jobs()
-        self.assertThat(sound, matchers.HasLength(0))
+        healthy = day.given_up() - day.bad_jobs()
+        self.assertThat(healthy, matchers.HasLength(0))
         # Only jobs with crashing tasks may still be active at the end.
         left = _jobs(day.store, JobPhase.ACTIVE) - day.bad_jobs()
         self.assertThat(left, matchers.Equals({_SERVING}))
         allowed = matchers.LessThan(MOST_STARTS + 1)
         self.assertThat(day.most_starts(), allowed)
 
-    def test_tasks_that_crash_their_workers_cost_no_sound_job(self) -> None:
+    def test_tasks_that_crash_their_workers_fail_no_healthy_job(self) -> None:
         """Healthy jobs are done, however often their runs are lost."""
         for seed in range(6):
-            self._assert_sound(_Day(seed, 0, 0))
+            self._assert_only_bad_jobs_fail(_Day(seed, 0, 0))
 
-    def test_nor_do_crashes_beside_them(self) -> None:
+    def test_crashes_beside_them_fail_no_healthy_job(self) -> None:
         """A third of the pool fails at once every few seconds."""
         for seed in range(6):
-            self._assert_sound(_Day(seed, 0.35, 4.5))
+            self._assert_only_bad_jobs_fail(_Day(seed, 0.35, 4.5))
 
-    def test_nor_do_single_crashes(self) -> None:
+    def test_single_crashes_fail_no_healthy_job(self) -> None:
         """Workers fail one by one, each for a reason of its own."""
         for seed in range(6):
-            self._assert_sound(_Day(seed, 0.08, 0.9))
+            self._assert_only_bad_jobs_fail(_Day(seed, 0.08, 0.9))
--- a/tests/scheduling/test_stale_heartbeats.py
+++ b/tests/scheduling/test_stale_heartbeats.py
@@ -68,7 +68,7 @@
         commit(self.store, AddJob(other, 'bookings'))
         self.lead.round()
 
-    def test_run_that_it_does_not_list_is_not_begun_again(self) -> None:
+    def test_run_that_it_does_not_list_is_not_restarted(self) -> None:
         """The next leader waits for the worker's next heartbeat."""
         running = matchers.HasLength(1)
         self.assertThat(self.worker.running, running)
@@ -106,7 +106,7 @@
 class TestTickets(testtools.TestCase):
     """A run that began with a ticket that the next leader does not have."""
 
-    def test_run_is_not_begun_again_for_want_of_a_ticket(self) -> None:
+    def test_run_is_not_restarted_for_lack_of_a_ticket(self) -> None:
         """Tickets are not replicated, and the heartbeat is stale."""
         policy = AdvicePolicy(20, 5, 3000)
         store = JobStore()
--- a/tests/scheduling/test_workers.py
+++ b/tests/scheduling/test_workers.py
@@ -30,7 +30,7 @@
         super().setUp()
         self.tracked = Workers(0)
 
-    def test_only_a_silent_worker_is_over(self) -> None:
+    def test_only_a_silent_worker_has_ended(self) -> None:
         """A lease is checked when it may expire, and again if renewed."""
         heard, silent = workers(2)
         for worker in (heard, silent):
@@ -75,7 +75,7 @@
             matchers.Is(None),
         )
 
-    def test_old_heartbeat_brings_nobody_back(self) -> None:
+    def test_old_heartbeat_readmits_no_worker(self) -> None:
         """A heartbeat that was overtaken by a later one is ignored."""
         worker = workers(1)[0]
         old = worker.report()
