--- a/src/wigeonreach/scheduling/_advice.py
+++ b/src/wigeonreach/scheduling/_advice.py
@@ -100,14 +100,14 @@
         """Return the workers with a ticket; request more if needed."""
         key = TaskKey(step.job.spec.job_id, step.occurrence, step.step, 0)
         all_rooms = list(rooms)
-        found = [
+        with_ticket = [
             room
             for room in all_rooms
             if self.ticket(key, room.incarnation.report.worker, now_s)
         ]
-        if len(found) < len(step.waiting):
+        if len(with_ticket) < len(step.waiting):
             self._request_tickets(step, all_rooms, now_s)
-        return found
+        return with_ticket
 
     def questions(self) -> list[Question]:
         """Return the pending requests and mark them as in flight."""
--- a/src/wigeonreach/scheduling/_crashes.py
+++ b/src/wigeonreach/scheduling/_crashes.py
@@ -111,10 +111,10 @@
         if returned is not None:
             self._mark_explained(returned)
         self._recent_losses.pop(report.worker, None)
-        joined = (incarnation.first_heard_s, report.worker)
+        newest = (incarnation.first_heard_s, report.worker)
         vm = report.vm_or_address
-        if joined > self._newest_worker.get(vm, (0.0, '')):
-            self._newest_worker[vm] = joined
+        if newest > self._newest_worker.get(vm, (0.0, '')):
+            self._newest_worker[vm] = newest
 
     def note_vm_ordered(self, vm: str, worker: str, now_s: float) -> None:
         """Record that an order is about to end a VM's worker.
@@ -187,28 +187,28 @@
 
     def unrecorded(self, now_s: float) -> tuple[RunCrashed, ...]:
         """Return the crashes to record; they repeat until they are recorded."""
-        over = [
+        replaced = [
             loss
             for loss in self._unexplained.values()
             if self._is_replaced(loss)
         ]
-        if over:
-            fallen = LossCorrelation(
+        if replaced:
+            correlation = LossCorrelation(
                 (*self._recent_losses.values(), *self._silent_workers(now_s)),
                 self._workers.incarnations.values(),
             )
-            for settled in over:
+            for settled in replaced:
                 self._unexplained.pop(settled.worker)
-                self._settle(settled, fallen, now_s)
+                self._settle(settled, correlation, now_s)
         for waiting in tuple(self._unexplained.values()):
             if now_s - waiting.given_up_s > _SETTLE_WITHIN_S:
                 self._mark_explained(self._unexplained.pop(waiting.worker))
                 self._mark_starts_uncertain(waiting)
         if self._recent_losses:
             self._recent_losses = {
-                worker: late
-                for worker, late in self._recent_losses.items()
-                if now_s - late.given_up_s <= _SETTLE_WITHIN_S
+                worker: recent
+                for worker, recent in self._recent_losses.items()
+                if now_s - recent.given_up_s <= _SETTLE_WITHIN_S
             }
         return tuple(self._unrecorded.values())
 
@@ -242,8 +242,8 @@
         self._unexplained[loss.worker] = loss
         for run, evidence in loss.runs.items():
             if evidence is not CrashEvidence.SOUND:
-                mark = loss.crash_record(run, CrashEvidence.UNSETTLED)
-                self._unrecorded[run] = mark
+                record = loss.crash_record(run, CrashEvidence.UNSETTLED)
+                self._unrecorded[run] = record
 
     def _mark_starts_uncertain(self, loss: WorkerLoss) -> None:
         """Record an explained loss as uncertain for the starts on the worker.
@@ -270,10 +270,10 @@
         runs: Iterable[Run],
     ) -> None:
         """Add the runs of a lost worker, and the evidence of its crash."""
-        described = self._possible_causes(incarnation)
-        evidence = evidence_of(described)
-        for run in described.keys() & set(runs):
-            lost = described[run]
+        causes = self._possible_causes(incarnation)
+        evidence = evidence_of(causes)
+        for run in causes.keys() & set(runs):
+            lost = causes[run]
             loss.is_provoked |= lost.has_just_begun
             loss.runs[run] = evidence[run]
             if lost.is_at_start:
@@ -309,8 +309,8 @@
         """Whether an order for its VM may have ended a worker."""
         report = incarnation.report
         ordered_s = self._last_order_s(report.worker, report.vm)
-        is_of_it = incarnation.first_heard_s <= ordered_s
-        return is_of_it and incarnation.heard_s < ordered_s + ORDER_LASTS_S
+        was_up = incarnation.first_heard_s <= ordered_s
+        return was_up and incarnation.heard_s < ordered_s + ORDER_LASTS_S
 
     def _last_order_s(self, worker: str, vm: str) -> float:
         """Return when an order was last given for a worker, or for its VM."""
@@ -327,7 +327,7 @@
     def _max_evidence(
         self,
         loss: WorkerLoss,
-        fallen: LossCorrelation,
+        correlation: LossCorrelation,
         now_s: float,
     ) -> CrashEvidence:
         """Return the upper limit of the evidence that a crash provides."""
@@ -336,8 +336,8 @@
             # A partition may have ended the runs by their lease before.
             return CrashEvidence.UNCERTAIN
         if (
-            fallen.coincides_with_unprovoked(loss)
-            or fallen.failed_domain(loss) is not None
+            correlation.coincides_with_unprovoked(loss)
+            or correlation.failed_domain(loss) is not None
         ):
             return CrashEvidence.UNCERTAIN
         if (
@@ -351,11 +351,11 @@
     def _settle(
         self,
         loss: WorkerLoss,
-        fallen: LossCorrelation,
+        correlation: LossCorrelation,
         now_s: float,
     ) -> None:
         """Record a loss as evidence against its runs unless it is explained."""
-        domain = fallen.failed_domain(loss)
+        domain = correlation.failed_domain(loss)
         if domain is not None and domain.is_conclusive:
             self._add_note(loss, f'{domain.name} failed with it')
             self._mark_explained(loss)
@@ -367,12 +367,14 @@
             self._mark_explained(loss)
             self._mark_starts_uncertain(loss)
             return
-        most = self._max_evidence(loss, fallen, now_s)
+        max_evidence = self._max_evidence(loss, correlation, now_s)
         self._vm_crashed_s[loss.vm] = now_s
         if not loss.is_provoked:
             self._vm_unprovoked_s[loss.vm] = now_s
         for run, evidence in loss.runs.items():
-            self._unrecorded[run] = loss.crash_record(run, min(evidence, most))
+            self._unrecorded[run] = loss.crash_record(
+                run, min(evidence, max_evidence)
+            )
         self._add_note(loss, f'{len(loss.runs)} runs may be the cause')
 
     def _silent_workers(self, now_s: float) -> Iterator[WorkerLoss]:
--- a/src/wigeonreach/scheduling/_ends.py
+++ b/src/wigeonreach/scheduling/_ends.py
@@ -59,12 +59,15 @@
         """Return the runs that are withdrawn before they begin on a worker."""
         unlisted = tuple(unlisted_runs(incarnation, self._store))
         incarnation.unlisted_starts.intersection_update(unlisted)
-        unfit = {*self._stopping, *runs_over_capacity(incarnation, self._store)}
+        forbidden = {
+            *self._stopping,
+            *runs_over_capacity(incarnation, self._store),
+        }
         return tuple(
             RunEnded(key, run, incarnation.report.worker, RunEnd.REFUSED)
             for key, run in unlisted
             if self._takes_no_runs(incarnation, key)
-            or self._is_to_withdraw(incarnation, (key, run), unfit)
+            or self._is_to_withdraw(incarnation, (key, run), forbidden)
         )
 
     def _takes_no_runs(self, incarnation: Incarnation, key: TaskKey) -> bool:
@@ -77,11 +80,11 @@
         self,
         incarnation: Incarnation,
         run: Run,
-        unfit: Collection[Run],
+        forbidden: Collection[Run],
     ) -> bool:
         if not incarnation.has_not_begun(run):
             return False
-        if run in unfit or is_over_cap(run[0], self._store):
+        if run in forbidden or is_over_cap(run[0], self._store):
             return True
         return self._lacks_ticket(incarnation, run)
 
--- a/src/wigeonreach/scheduling/_losses.py
+++ b/src/wigeonreach/scheduling/_losses.py
@@ -96,9 +96,9 @@
         incarnations: Iterable[Incarnation],
     ) -> None:
         """Index the workers by rack and zone."""
-        fallen = tuple(losses)
+        lost = tuple(losses)
         self._unprovoked_heard_s = sorted(
-            loss.heard_s for loss in fallen if not loss.is_provoked
+            loss.heard_s for loss in lost if not loss.is_provoked
         )
         self._losses_by_domain = collections.defaultdict[str, list[WorkerLoss]](
             list
@@ -106,7 +106,7 @@
         self._heard_by_domain = collections.defaultdict[str, list[Incarnation]](
             list
         )
-        for loss in fallen:
+        for loss in lost:
             for domain in _domains(loss.rack, loss.zone):
                 self._losses_by_domain[domain].append(loss)
         for known in incarnations:
--- a/src/wigeonreach/scheduling/_maintenance.py
+++ b/src/wigeonreach/scheduling/_maintenance.py
@@ -194,9 +194,11 @@
             worker = incarnation.report.worker if incarnation else ''
             found.orders.append((wave.wave, vm, worker))
             return
-        leaving = {*stopping, *found.stops}
+        being_stopped = {*stopping, *found.stops}
         found.stops.extend(
-            self._disruption_budget.stoppable_now(incarnation, leaving, now_s),
+            self._disruption_budget.stoppable_now(
+                incarnation, being_stopped, now_s
+            ),
         )
         if now_s - since_s > _BATCH_GRACE_S:
             found.stops.extend(self._batch_runs(incarnation))
@@ -234,12 +236,12 @@
         now_s: float,
     ) -> list[str]:
         """Return the waiting VMs that may be ordered, fewest runs first."""
-        in_hand = self.cordoned.union(held)
+        excluded = self.cordoned.union(held)
         waiting = [
             vm
             for vm, progress in wave.vms.items()
             if progress.step is VmStep.WAITING
-            and vm not in in_hand
+            and vm not in excluded
             and self._may_be_ordered(vm, now_s)
         ]
         waiting.sort(key=lambda vm: (self._run_count(vm), vm))
@@ -324,5 +326,5 @@
         if record.worker != worker_id_of(wave.vms[vm].worker):
             return True
         # There is no worker, or one that may have restarted under the same id.
-        is_over = self._listed_s - confirmed_s >= self._maintained_s
-        return is_over or not record.worker
+        is_maintenance_over = self._listed_s - confirmed_s >= self._maintained_s
+        return is_maintenance_over or not record.worker
--- a/src/wigeonreach/scheduling/_moving_out.py
+++ b/src/wigeonreach/scheduling/_moving_out.py
@@ -2,8 +2,9 @@
 
 Maintenance waves, drains, runs without progress and changes of leader may all
 stop serving runs at the same moment.  Each of them asks here, both when it
-decides on a stop and whenever a worker is told, so that no two of them rely on
-the same task.  A task that may be unavailable already counts as unavailable.
+decides on a stop and whenever it is sent to a worker, so that no two of them
+rely on the same task.  A task that may be unavailable already counts as
+unavailable.
 """
 
 from __future__ import annotations
@@ -98,8 +99,8 @@
         # Greatest age of a heartbeat that shows a task as serving.  If the task
         # failed right after it, a stop that relied on it must arrive before the
         # failed task counts as unavailable.
-        fresh_s = min(SILENT_AFTER_S, settings.notice_s - _ANSWER_TIMEOUT_S)
-        self._max_report_age_s = max(fresh_s, _MIN_REPORT_AGE_S)
+        max_age_s = min(SILENT_AFTER_S, settings.notice_s - _ANSWER_TIMEOUT_S)
+        self._max_report_age_s = max(max_age_s, _MIN_REPORT_AGE_S)
         # When the stop of each run was last put into an answer.
         self._stop_sent_s: dict[Run, float] = {}
         self._inherited_runs: frozenset[Run] = frozenset(
@@ -132,18 +133,18 @@
         if incarnation.is_silent(now_s):
             # Other tasks may become unavailable before it is heard again.
             return []
-        leaving = frozenset(stopping)
+        being_stopped = frozenset(stopping)
         steps: set[tuple[str, int, int]] = set()
         chosen: list[Run] = []
         for run in self._store.held_by(incarnation.report.worker).items():
             key, _ = run
             step = (key.job_id, key.occurrence, key.step)
             job = self._store.job_of(key)
-            if job is None or run in leaving or step in steps:
+            if job is None or run in being_stopped or step in steps:
                 continue
             spec = job.step_spec(key)
             if spec.is_service and self._is_within_budget(
-                key, job, spec, leaving, now_s
+                key, job, spec, being_stopped, now_s
             ):
                 steps.add(step)
                 chosen.append(run)
@@ -219,8 +220,8 @@
 
         If it lists the run long after the answer, the answer did not reach it.
         """
-        told_s = self._stop_sent_s.get(run, float('-inf'))
-        return incarnation.heard_s - told_s < self._stop_settles_s
+        sent_s = self._stop_sent_s.get(run, float('-inf'))
+        return incarnation.heard_s - sent_s < self._stop_settles_s
 
     def _may_be_serving(self, run: Run, incarnation: Incarnation) -> bool:
         """Whether a run serves requests, or may do so when it is stopped.
@@ -240,24 +241,24 @@
         key: TaskKey,
         job: JobRecord,
         spec: StepSpec,
-        leaving: Container[Run],
+        being_stopped: Container[Run],
         now_s: float,
     ) -> bool:
-        may_miss = (
+        max_unavailable = (
             _DEFAULT_MAX_UNAVAILABLE if spec.may_miss is None else spec.may_miss
         )
         unavailable = sum(
-            not self._is_serving(other, job, leaving, now_s)
+            not self._is_serving(other, job, being_stopped, now_s)
             for other in job.step_keys(key)
             if other != key
         )
-        return unavailable < may_miss
+        return unavailable < max_unavailable
 
     def _is_serving(
         self,
         key: TaskKey,
         job: JobRecord,
-        leaving: Container[Run],
+        being_stopped: Container[Run],
         now_s: float,
     ) -> bool:
         task = job.task(key)
@@ -265,7 +266,7 @@
             return False
         run = (key, task.run)
         incarnation = self._incarnations.get(task.worker)
-        if incarnation is None or run in leaving:
+        if incarnation is None or run in being_stopped:
             return False
         # The runs that a silent worker listed last may have ended: by its
         # lease, by a stop, or with the worker.
