--- a/src/wigeonreach/entry/_announce.py
+++ b/src/wigeonreach/entry/_announce.py
@@ -1,4 +1,4 @@
-"""Validate what targets announce over HTTP."""
+"""Validate announcements that targets send over HTTP."""
 
 from __future__ import annotations
 
@@ -40,19 +40,19 @@
 
 
 def read_announcement(body: bytes, zone: str) -> TargetRecord:
-    """Check an announcement and return it as a record.
+    """Validate an announcement and return it as a record.
 
     Parameters
     ----------
     body
-        JSON that the target sent.
+        JSON body that the target sent.
     zone
-        Zone of the entry that the target told.
+        Zone of the entry that received the announcement.
 
     Returns
     -------
     TargetRecord
-        The record to merge and to pass on.
+        The record to merge and to relay.
 
     Raises
     ------
--- a/src/wigeonreach/entry/_config.py
+++ b/src/wigeonreach/entry/_config.py
@@ -1,4 +1,4 @@
-"""Follow the accepted text and keep the newest version in force."""
+"""Follow the accepted configuration and activate its newest version."""
 
 from __future__ import annotations
 
@@ -26,18 +26,19 @@
 )
 
 _RETRY_S = 0.2
-_BEAT_S = 1.0
-_START_BEAT_S = 0.25
-# How long a farther replica is followed before the near one is tried again.
-_RETURN_S = 5.0
-# Reading a text may take this part of a core; a large text that changes
-# often is read less often, and never later than the longest pause.
-_PARSE_RATIO = 0.02
-_LONGEST_PAUSE_S = 2.0
+_REPORT_INTERVAL_S = 1.0
+_STARTUP_REPORT_INTERVAL_S = 0.25
+# How long a replica of another zone is followed before nearer replicas are
+# tried again.
+_RETRY_NEAREST_S = 5.0
+# Parsing may use this fraction of a core.  A large configuration that changes
+# often is parsed less often, but at least once per maximum pause.
+_PARSE_CPU_RATIO = 0.02
+_MAX_PARSE_PAUSE_S = 2.0
 
 
 class FollowerSettings(Protocol):
-    """What the follower needs to know of its process."""
+    """Settings that the follower requires of its process."""
 
     @property
     def name(self) -> str:
@@ -45,24 +46,24 @@
 
     @property
     def zone(self) -> str:
-        """Its availability zone."""
+        """Availability zone of the process."""
 
     @property
     def replicas_nearest_first(self) -> Sequence[Member]:
-        """The replicas, those of the own zone first."""
+        """The replicas, those of the same zone first."""
 
 
 class ConfigFollower(mode.Service):
-    """Follow the nearest replica that is in touch with a quorum.
+    """Follows the nearest replica that is in contact with a quorum.
 
     Parameters
     ----------
     settings
-        Who this process is and where replicas are.
+        Name and zone of this process, and the replicas.
     metrics
-        Counters of each reason to leave a replica.
+        Counters of the reasons for leaving a replica.
     logger
-        Where events are logged.
+        Log for activated versions and lost replicas.
     """
 
     def __init__(
@@ -71,17 +72,17 @@
         metrics: Metrics,
         logger: Logger,
     ) -> None:
-        """Start with no text in force."""
+        """Start without an active configuration."""
         super().__init__()
         self._settings = settings
         self._metrics = metrics
         self._log = logger
         self._started_s = time.monotonic()
-        self._pause_ends_s = -math.inf
-        self._moved = asyncio.Event()
+        self._next_parse_s = -math.inf
+        self._copy_changed = asyncio.Event()
         self._pending: TextCopy | None = None
         self._channel: Channel | None = None
-        self._have_peers_told = False
+        self._have_peers_replied = False
         self._reader = TextReader()
         self.follower = Follower()
         self.version = 0
@@ -89,47 +90,48 @@
 
     @property
     def confirmed_age_s(self) -> float:
-        """How long ago the version held was known to be the newest."""
+        """Time since the held version was last confirmed as newest, in seconds."""
         return self.follower.confirmed_age_s(time.monotonic())
 
     @property
     def has_caught_up(self) -> bool:
-        """Whether the copy held may be put in force.
+        """Whether the held copy may be activated.
 
-        A quorum has confirmed it since this process was started or, cut off
-        from that, every reachable peer of the zone told what it has.
+        It may once a quorum has confirmed it since this process started.
+        Without contact to a quorum, it may once every reachable peer of the
+        zone has had the time to send its copy.
         """
         running_s = time.monotonic() - self._started_s
-        return self.confirmed_age_s <= running_s or self._have_peers_told
+        return self.confirmed_age_s <= running_s or self._have_peers_replied
 
-    def take(self, effects: tuple[Effect, ...]) -> None:
-        """Do what the follower decided on a copy from anywhere."""
+    def apply(self, effects: tuple[Effect, ...]) -> None:
+        """Apply the follower's effects of a message from a replica or a peer."""
         for effect in effects:
             if isinstance(effect, Hold):
                 self._pending = effect.copy
             elif self._channel is not None:
                 self._channel.post(effect.need)
-        self._moved.set()
+        self._copy_changed.set()
 
-    def note_peers_told(self) -> None:
-        """Note that every reachable peer of the zone told what it has."""
-        self._have_peers_told = True
-        self._moved.set()
+    def note_peers_replied(self) -> None:
+        """Record that the reachable peers of the zone have sent their copies."""
+        self._have_peers_replied = True
+        self._copy_changed.set()
 
     async def wait_version(self, version: int, timeout_s: float) -> bool:
-        """Wait until a version, or a newer one, is in force.
+        """Wait until a version, or a newer one, is active.
 
         Parameters
         ----------
         version
-            The lowest version to wait for.
+            Minimum version to wait for.
         timeout_s
-            How long to wait at most, in seconds.
+            Maximum time to wait, in seconds.
 
         Returns
         -------
         bool
-            Whether it is.
+            Whether it became active in time.
         """
         ends_s = time.monotonic() + timeout_s
         while self.version < version and time.monotonic() < ends_s:
@@ -137,7 +139,7 @@
         return self.version >= version
 
     async def leave(self) -> None:
-        """Tell the replica that this process ends for good."""
+        """Tell the replica that this process is shutting down permanently."""
         if self._channel is not None:
             self._channel.post(Unfollow(self._settings.name))
 
@@ -150,29 +152,29 @@
             await self.sleep(_RETRY_S)
 
     @mode.Service.task
-    async def _put_in_force(self) -> None:
+    async def _activate_pending(self) -> None:
         while not self.should_stop:
-            await self._moved.wait()
-            self._moved.clear()
-            await self.sleep(max(0, self._pause_ends_s - time.monotonic()))
+            await self._copy_changed.wait()
+            self._copy_changed.clear()
+            await self.sleep(max(0, self._next_parse_s - time.monotonic()))
             if self._pending is not None and self.has_caught_up:
-                self._read(self._pending)
+                self._parse(self._pending)
 
     async def _follow_one(self, replica: Member) -> bool:
-        """Follow until there is a reason to leave.
+        """Follow a replica until it fails or nearer ones should be tried.
 
         Returns
         -------
         bool
-            Whether the replica is sound and only a nearer one is to be tried.
+            Whether the replica still works and nearer ones should be tried.
         """
         try:
-            return await self._talk(replica)
+            return await self._follow_on_channel(replica)
         except WireError as error:
-            self._note_lost(replica, 'unreachable', error.detail)
+            self._log_source_lost(replica, 'unreachable', error.detail)
         return False
 
-    async def _talk(self, replica: Member) -> bool:
+    async def _follow_on_channel(self, replica: Member) -> bool:
         channel = await connect(replica.address)
         self.follower.choose_source(time.monotonic())
         held = self.follower.held
@@ -183,34 +185,38 @@
         self._channel = channel
         receiving = asyncio.ensure_future(self._receive(channel))
         try:
-            return await self._watch(replica, receiving)
+            return await self._monitor(replica, receiving)
         finally:
             receiving.cancel()
-            await self._hang_up(channel)
+            await self._close_channel(channel)
 
-    async def _hang_up(self, channel: Channel) -> None:
+    async def _close_channel(self, channel: Channel) -> None:
         self._channel = None
         await channel.close()
 
-    async def _watch(
+    async def _monitor(
         self,
         replica: Member,
         receiving: asyncio.Future[None],
     ) -> bool:
-        chosen_s = time.monotonic()
-        is_near = replica.zone == self._settings.zone
+        connected_s = time.monotonic()
+        is_same_zone = replica.zone == self._settings.zone
         while not self.should_stop:
-            self._tell_in_force()
-            beat_s = _BEAT_S if self.has_caught_up else _START_BEAT_S
-            await asyncio.wait((receiving,), timeout=beat_s)
+            self._report_version()
+            interval_s = (
+                _REPORT_INTERVAL_S
+                if self.has_caught_up
+                else _STARTUP_REPORT_INTERVAL_S
+            )
+            await asyncio.wait((receiving,), timeout=interval_s)
             if receiving.done():
                 receiving.result()
             now_s = time.monotonic()
             fault = self.follower.source_fault(now_s)
             if fault is not None:
-                self._note_lost(replica, fault.value, '')
+                self._log_source_lost(replica, fault.value, '')
                 return False
-            if not is_near and now_s - chosen_s > _RETURN_S:
+            if not is_same_zone and now_s - connected_s > _RETRY_NEAREST_S:
                 return True
         return False
 
@@ -219,14 +225,16 @@
             message = await channel.receive()
             if isinstance(message, (ConfigBeat, ConfigDelta, ConfigSections)):
                 now_s = time.monotonic()
-                self.take(self.follower.on_message(message, now_s))
+                self.apply(self.follower.on_message(message, now_s))
 
-    def _tell_in_force(self) -> None:
+    def _report_version(self) -> None:
         if self._channel is not None:
             now_s = time.monotonic()
             self._channel.post(ConfigInForce(self.version, now_s))
 
-    def _note_lost(self, replica: Member, reason: str, detail: str) -> None:
+    def _log_source_lost(
+        self, replica: Member, reason: str, detail: str
+    ) -> None:
         self._metrics.count('config_sources_left', reason)
         self._log.warning(
             LogEvent.CONFIG_SOURCE_LOST,
@@ -235,13 +243,14 @@
             detail=detail,
         )
 
-    def _read(self, copy: TextCopy) -> None:
+    def _parse(self, copy: TextCopy) -> None:
         self._pending = None
         started_s = time.monotonic()
         try:
             text = self._reader.read(copy.text)
         except FleetTextError as error:
-            # A newer release accepted it: go on with what can be read.
+            # A newer release accepted this text.  Keep the last version that this
+            # release can parse.
             self._log.warning(
                 LogEvent.CONFIG_UNREADABLE,
                 version=copy.version,
@@ -249,9 +258,9 @@
             )
             return
         ended_s = time.monotonic()
-        pause_s = (ended_s - started_s) / _PARSE_RATIO
-        self._pause_ends_s = ended_s + min(pause_s, _LONGEST_PAUSE_S)
+        pause_s = (ended_s - started_s) / _PARSE_CPU_RATIO
+        self._next_parse_s = ended_s + min(pause_s, _MAX_PARSE_PAUSE_S)
         self.text = text
         self.version = copy.version
         self._log.info(LogEvent.CONFIG_IN_FORCE, version=copy.version)
-        self._tell_in_force()
+        self._report_version()
--- a/src/wigeonreach/entry/_config_header.py
+++ b/src/wigeonreach/entry/_config_header.py
@@ -1,4 +1,4 @@
-"""Tell callers which version answers them, and heed what they have seen."""
+"""Exchange the configuration version with callers in an HTTP header."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 VERSION_HEADER = 'X-Config-Version'
 _VERSION_KEY = web.RequestKey('config_version', int)
-_CATCH_UP_S = 1.0
+_CATCH_UP_TIMEOUT_S = 1.0
 _MAX_DIGITS = 18
 _Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
@@ -23,34 +23,35 @@
     config: ConfigFollower,
     metrics: Metrics,
 ) -> None:
-    """Have an application tell on each answer the version it acted on.
+    """Add the configuration version to each response of an application.
 
-    A request may carry the version that its caller has seen; an entry that
-    is behind it waits a moment and then refuses.
+    A request may carry the newest version that its caller has seen.  An entry
+    with an older version waits up to a second for it, then refuses the
+    request.
 
     Parameters
     ----------
     application
-        The application; call this before it is started.
+        The application, which must not have started yet.
     config
-        The text in force.
+        Source of the active version.
     metrics
-        Counts refusals.
+        Counters of refusals by HTTP status.
     """
 
     @web.middleware
-    async def heed(  # noqa: WPS430 - aiohttp wants a callback of two arguments
+    async def check_version(  # noqa: WPS430 - aiohttp wants a callback of two arguments
         request: web.Request,
         handler: _Handler,
     ) -> web.StreamResponse:
-        refusal = await _check_seen(request, config)
+        refusal = await _refuse_if_behind(request, config)
         request[_VERSION_KEY] = config.version
         if refusal is not None:
             metrics.count('config_refused', str(refusal.status))
             return refusal
         return await handler(request)
 
-    application.middlewares.append(heed)
+    application.middlewares.append(check_version)
     application.on_response_prepare.append(_add_header)
 
 
@@ -63,25 +64,25 @@
         response.headers[VERSION_HEADER] = str(version)
 
 
-async def _check_seen(
+async def _refuse_if_behind(
     request: web.Request,
     config: ConfigFollower,
 ) -> web.Response | None:
-    seen = request.headers.get(VERSION_HEADER)
-    if seen is None:
+    caller_version = request.headers.get(VERSION_HEADER)
+    if caller_version is None:
         return None
-    if not seen.isdecimal() or len(seen) > _MAX_DIGITS:
+    if not caller_version.isdecimal() or len(caller_version) > _MAX_DIGITS:
         return error_reply(
             400,
             ResultCode.REQUEST_BAD_HEADER,
             Outcome.NOT_RUN,
-            f'{VERSION_HEADER}: {seen!r}; allowed: a version',
+            f'{VERSION_HEADER}: {caller_version!r}; allowed: a version',
         )
-    if await config.wait_version(int(seen), _CATCH_UP_S):
+    if await config.wait_version(int(caller_version), _CATCH_UP_TIMEOUT_S):
         return None
     return error_reply(
         503,
         ResultCode.REQUEST_CONFIG_NOT_READY,
         Outcome.NOT_RUN,
-        f'version {config.version} in force here, {seen} seen',
+        f'version {config.version} in force here, {caller_version} seen',
     )
--- a/src/wigeonreach/entry/_config_peers.py
+++ b/src/wigeonreach/entry/_config_peers.py
@@ -1,4 +1,4 @@
-"""Let the entries of a zone bring each other up to date."""
+"""Exchange configuration copies among the entries of a zone."""
 
 from __future__ import annotations
 
@@ -10,24 +10,26 @@
 from wigeonreach.wire._peer_messages import PeerHello
 from wigeonreach.wire._rollout_messages import ConfigNeed, ConfigSections
 
-# An entry whose replica confirms regularly has nothing to ask its peers.
-_UNCONFIRMED_S = 3.0
-_ASK_S = 1.0
+# Peers are asked only when no replica has confirmed the copy for this long.
+_MAX_CONFIRMED_AGE_S = 3.0
+_ASK_INTERVAL_S = 1.0
 
 
 class ConfigPeers(mode.Service):
-    """Ask the zone's entries while no replica confirms, and answer them.
+    """Requests copies from the zone's entries and answers their requests.
+
+    Requests are sent only while no replica confirms the held copy.
 
     Parameters
     ----------
     config
-        The copy held here.
+        Holder of this entry's copy.
     peers
-        The channels to the other entries.
+        Channels to the other entries.
     """
 
     def __init__(self, config: ConfigFollower, peers: PeerExchange) -> None:
-        """Answer from now on."""
+        """Register the handlers of configuration messages."""
         super().__init__()
         self._config = config
         self._peers = peers
@@ -35,21 +37,21 @@
         peers.handle(ConfigSections, self._on_sections)
 
     @mode.Service.task
-    async def _ask(self) -> None:
-        await self.sleep(_UNCONFIRMED_S)
+    async def _ask_while_unconfirmed(self) -> None:
+        await self.sleep(_MAX_CONFIRMED_AGE_S)
         while not self.should_stop:
-            if self._config.confirmed_age_s > _UNCONFIRMED_S:
-                await self._ask_all()
-            await self.sleep(_ASK_S)
+            if self._config.confirmed_age_s > _MAX_CONFIRMED_AGE_S:
+                await self._ask_peers()
+            await self.sleep(_ASK_INTERVAL_S)
 
-    async def _ask_all(self) -> None:
+    async def _ask_peers(self) -> None:
         held = self._config.follower.held
         need = ConfigNeed(held.version, held.digests())
         self._peers.post_to_zone(need)
-        # A peer that is cut off is waited for no longer than this.
-        await self.sleep(_ASK_S)
+        # Unreachable peers are not waited for any longer.
+        await self.sleep(_ASK_INTERVAL_S)
         if self._config.follower.held.version:
-            self._config.note_peers_told()
+            self._config.note_peers_replied()
 
     def _on_need(self, hello: PeerHello, need: ConfigNeed) -> None:
         held = self._config.follower.held
@@ -57,4 +59,4 @@
             self._peers.post(hello.process, missing_sections(held, need))
 
     def _on_sections(self, _hello: PeerHello, sent: ConfigSections) -> None:
-        self._config.take(self._config.follower.on_peer_sections(sent))
+        self._config.apply(self._config.follower.on_peer_sections(sent))
--- a/src/wigeonreach/entry/_contact.py
+++ b/src/wigeonreach/entry/_contact.py
@@ -1,4 +1,4 @@
-"""Decide whether everything that a peer learned has reached this entry."""
+"""Track which peers are in contact, based on echoed heartbeat times."""
 
 from __future__ import annotations
 
@@ -7,37 +7,37 @@
 
 from wigeonreach.wire._peer_messages import Heartbeat, PeerHello
 
-#: Contact with a peer is lost when its newest echo is this old, in seconds.
+#: Age of the newest echo, in seconds, at which a peer is out of contact.
 CONTACT_LIMIT_S = 1.0
 
 
 @dataclasses.dataclass(slots=True)
 class PeerContact:
-    """What was heard of one peer.
+    """Heartbeat state of one peer.
 
-    ``echoed_s`` is the newest time of this process' own clock that the peer
-    repeated.  A channel keeps order, so that everything which the peer had
-    learned by then has arrived here, and everything sent to the peer before
-    then has arrived there.
+    ``echoed_s`` is the newest timestamp of this process's own clock that the
+    peer echoed.  Channels deliver in order, so everything that the peer knew
+    at that time has arrived here, and everything sent to the peer before that
+    time has arrived there.
     """
 
     name: str
     incarnation_ns: int = 0
-    their_sent_s: float = 0
+    peer_sent_s: float = 0
     heard_s: float = float('-inf')
     echoed_s: float = float('-inf')
     has_left: bool = False
 
 
-class Contacts:
-    """Contact of one entry with each of its peers.
+class PeerContacts:
+    """Heartbeat state of all peers of one entry.
 
     Parameters
     ----------
     incarnation_ns
         Incarnation of this entry.
     names
-        Names of all peers.
+        Names of all configured peers.
     limit_s
         Age of the newest echo, in seconds, at which contact is lost.
     """
@@ -48,33 +48,33 @@
         names: Iterable[str],
         limit_s: float = CONTACT_LIMIT_S,
     ) -> None:
-        """Start out of contact with every peer."""
+        """Start with every peer out of contact."""
         self._incarnation_ns = incarnation_ns
         self._limit_s = limit_s
         self._peers = {name: PeerContact(name) for name in names}
 
     def peer(self, name: str) -> PeerContact:
-        """Return what was heard of one peer.
+        """Return the heartbeat state of one peer.
 
         Raises
         ------
         KeyError
-            If the settings name no such peer.
+            If no peer with this name is configured.
         """
         return self._peers[name]
 
-    def greet(self, hello: PeerHello) -> bool:
-        """Take the first message of a channel that a peer opened.
+    def on_hello(self, hello: PeerHello) -> bool:
+        """Handle the first message on a channel that a peer opened.
 
         Parameters
         ----------
         hello
-            Who opened the channel.
+            Identity of the peer that opened the channel.
 
         Returns
         -------
         bool
-            Whether the peer was restarted, and so forgot what it had learned.
+            Whether the peer restarted and so lost its in-memory state.
         """
         peer = self._peers[hello.process]
         if hello.incarnation_ns <= peer.incarnation_ns:
@@ -86,28 +86,28 @@
         )
         return was_known
 
-    def hear(
+    def on_heartbeat(
         self,
         hello: PeerHello,
         heartbeat: Heartbeat,
         now_s: float,
     ) -> None:
-        """Take a heartbeat; a late one of an older channel changes nothing."""
+        """Handle a heartbeat; one from an older incarnation is ignored."""
         peer = self._peers[hello.process]
         if hello.incarnation_ns != peer.incarnation_ns:
             return
         peer.heard_s = now_s
-        peer.their_sent_s = max(peer.their_sent_s, heartbeat.sent_s)
+        peer.peer_sent_s = max(peer.peer_sent_s, heartbeat.sent_s)
         if heartbeat.echo_incarnation_ns == self._incarnation_ns:
             peer.echoed_s = max(peer.echoed_s, heartbeat.echo_s)
 
-    def leave(self, hello: PeerHello) -> None:
-        """Note that a peer ends: nothing will be told to it any more."""
+    def on_goodbye(self, hello: PeerHello) -> None:
+        """Record that a peer is shutting down and needs no more updates."""
         peer = self._peers[hello.process]
         if hello.incarnation_ns == peer.incarnation_ns:
             peer.has_left = True
 
-    def heartbeat(
+    def build_heartbeat(
         self,
         name: str,
         now_s: float,
@@ -120,30 +120,30 @@
         Parameters
         ----------
         name
-            The peer.
+            Name of the peer.
         now_s
             Monotonic time of this process, in seconds.
         has_synced
-            Whether everything known here was sent on this channel before.
+            Whether the initial messages were already sent on this channel.
         wants_reply
-            Whether the peer shall answer at once.
+            Whether the peer should reply immediately.
         """
         peer = self._peers[name]
         if not has_synced:
             return Heartbeat(now_s, 0, 0, wants_reply)
         return Heartbeat(
             now_s,
-            peer.their_sent_s,
+            peer.peer_sent_s,
             peer.incarnation_ns,
             wants_reply,
         )
 
     def is_in_contact(self, name: str, now_s: float) -> bool:
-        """Whether what a peer learned until ``limit_s`` ago is known here."""
+        """Whether everything the peer knew ``limit_s`` ago is known here."""
         return now_s - self._peers[name].echoed_s < self._limit_s
 
-    def covered_until_s(self, names: Iterable[str]) -> float:
-        """Return until when each of the peers is in contact or has ended."""
+    def in_contact_until_s(self, names: Iterable[str]) -> float:
+        """Return until when every peer that has not left is in contact."""
         return min(
             (
                 self._peers[name].echoed_s + self._limit_s
@@ -154,7 +154,7 @@
         )
 
     def has_reached(self, names: Iterable[str], posted_s: float) -> bool:
-        """Whether what was posted at a time has arrived at all the peers."""
+        """Whether messages posted at ``posted_s`` have reached all the peers."""
         return all(
             self._peers[name].has_left or self._peers[name].echoed_s > posted_s
             for name in names
--- a/src/wigeonreach/entry/_credits.py
+++ b/src/wigeonreach/entry/_credits.py
@@ -1,4 +1,4 @@
-"""Divide the slots of a target among the entries of its zone."""
+"""Divide the slots of each target among the entries of its zone."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 from wigeonreach.wire._base import WireMessage
 
 LEASE_S: Final = 1.0
-"""How long a loan lasts unless it is renewed, counted by the borrower."""
+"""Duration of a loan unless it is renewed, as counted by the borrower."""
 
 WORK_GRACE_S: Final = 0.5
-"""How long a target may go on with a request whose deadline passed."""
+"""How long a target may keep working on a request past its deadline."""
 
-_SMALLEST_LENDING_SHARE: Final = 2
+_MIN_LENDING_SHARE: Final = 2
 _RESERVE_DIVISOR: Final = 4
 _FOREIGN_DIVISOR: Final = 4
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Sharer:
-    """This entry among those that share the slots of targets.
+    """Identity of this entry among those that share slots of targets.
 
-    ``started_s`` is monotonic time; ``incarnation_ns`` tells one start from
-    the next.
+    ``started_s`` is monotonic time in seconds; ``incarnation_ns`` increases
+    with each start of the process.
     """
 
     name: str
@@ -38,42 +38,42 @@
 
     @property
     def zone_names(self) -> tuple[str, ...]:
-        """All entries of the zone."""
+        """Names of all entries of the zone, this one included."""
         return (self.name, *self.zone_peers)
 
     @property
     def entries(self) -> int:
-        """How many entries there are in all zones."""
+        """Number of entries in all zones."""
         return 1 + len(self.zone_peers) + len(self.foreign_peers)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Outgoing:
-    """One message to send to another entry."""
+    """A message to send to another entry."""
 
     peer: str
     message: WireMessage
 
 
-def home_share(
+def permanent_share(
     slots: int,
     names: Sequence[str],
     name: str,
     target_id: str,
 ) -> int:
-    """Return how many of a target's slots one entry has for good.
+    """Return how many of a target's slots permanently belong to an entry.
 
     Parameters
     ----------
     slots
-        How many the target has.
+        Number of slots of the target.
     names
-        Names of all entries that the settings give for the target's zone.
+        Names of all entries configured for the target's zone.
     name
-        The entry asked about; it must be among them.
+        Name of the entry; it must be one of ``names``.
     target_id
-        The target; who gets one slot more when the division leaves a rest
-        differs from target to target.
+        Identifier of the target.  If the slots don't divide evenly, its hash
+        decides which entries get the remainder.
 
     Returns
     -------
@@ -83,21 +83,21 @@
     count = len(names)
     offset = xxhash.xxh32_intdigest(target_id.encode())
     rank = (sorted(names).index(name) + offset) % count
-    whole, rest = divmod(slots, count)
-    return whole + (rank < rest)
+    whole, remainder = divmod(slots, count)
+    return whole + (rank < remainder)
 
 
-def reserve_of(share: int) -> int:
+def reserved_slots(share: int) -> int:
     """Return how many slots of a share are never lent.
 
-    With them an entry serves its first callers without asking anyone, also
-    when it is cut off from its peers.
+    They let an entry serve its first requests without borrowing, even while
+    it is partitioned from its peers.
     """
-    if share < _SMALLEST_LENDING_SHARE:
+    if share < _MIN_LENDING_SHARE:
         return share
     return -(-share // _RESERVE_DIVISOR)
 
 
-def foreign_cap(share: int) -> int:
-    """Return how many slots of a share other zones may hold at once."""
+def foreign_loan_limit(share: int) -> int:
+    """Return how many slots of a share may be lent to other zones at once."""
     return share // _FOREIGN_DIVISOR
--- a/src/wigeonreach/entry/_credits_borrower.py
+++ b/src/wigeonreach/entry/_credits_borrower.py
@@ -1,4 +1,4 @@
-"""Use slots that other entries lent, and never past their lease."""
+"""Borrow slots from other entries and use them only within their lease."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 from wigeonreach.wire._target_messages import TargetRecord
 
 _RENEW_BEFORE_END_S = LEASE_S / 2
-_IDLE_S = LEASE_S
+_RETURN_AFTER_IDLE_S = LEASE_S
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoanKey:
-    """Names one loan of one incarnation of a lender."""
+    """Identifies a loan made by one incarnation of a lender."""
 
     lender: str
     lender_incarnation_ns: int
@@ -31,7 +31,7 @@
 
 @dataclasses.dataclass(slots=True)
 class BorrowedSlot:
-    """One slot that this entry may fill until its lease ends."""
+    """A borrowed slot, usable until its lease ends."""
 
     key: LoanKey
     record: TargetRecord
@@ -44,64 +44,66 @@
         return now_s < self.valid_until_s and not self.pool.busy(now_s)
 
     def take(self, now_s: float) -> None:
-        """Fill the slot."""
+        """Occupy the slot."""
         self.used_s = now_s
         self.pool.take()
 
-    def is_unwanted(self, now_s: float) -> bool:
-        """Whether the slot can be returned: nothing is or will be sent."""
+    def is_returnable(self, now_s: float) -> bool:
+        """Whether the slot is unoccupied and is expired or idle."""
         if self.pool.busy(now_s):
             return False
-        return now_s >= self.valid_until_s or now_s - self.used_s >= _IDLE_S
+        return (
+            now_s >= self.valid_until_s
+            or now_s - self.used_s >= _RETURN_AFTER_IDLE_S
+        )
 
 
 class Borrower:
-    """What this entry borrowed from others.
+    """The slots that this entry borrowed from other entries.
 
     Parameters
     ----------
     name
-        This entry.
+        Name of this entry.
     zone
-        Its zone.
+        Zone of this entry.
     incarnation_ns
-        Tells one start of this entry from the next; answers to a former
-        incarnation are of no use to this one.
+        Incarnation of this entry; replies to an earlier one are ignored.
     """
 
     def __init__(self, name: str, zone: str, incarnation_ns: int) -> None:
-        """Start with nothing borrowed."""
+        """Start without any loan."""
         self._name = name
         self._zone = zone
         self._incarnation_ns = incarnation_ns
         self._sequence = 0
-        self._asked_s: dict[int, float] = {}
+        self._request_sent_s: dict[int, float] = {}
         self._slots: dict[LoanKey, BorrowedSlot] = {}
         self._by_target: dict[TargetKey, list[BorrowedSlot]] = {}
         self._lenders: dict[str, int] = {}
 
-    def ask(
+    def build_request(
         self,
         lender: str,
         wishes: tuple[SlotWish, ...],
         now_s: float,
     ) -> SlotsAsked | None:
-        """Return what to send to a lender, or None if there is nothing.
+        """Return the request to send to a lender, or None if none is needed.
 
         Parameters
         ----------
         lender
             Name of the lender.
         wishes
-            New loans wanted.
+            New loans to ask for.
         now_s
-            Monotonic time of this process; leases count from here.
+            Monotonic time of this process, in seconds; leases start here.
         """
         renewals = self._renewals(lender, now_s)
         if not wishes and not renewals:
             return None
         self._sequence += 1
-        self._asked_s[self._sequence] = now_s
+        self._request_sent_s[self._sequence] = now_s
         return SlotsAsked(
             borrower=self._name,
             zone=self._zone,
@@ -112,57 +114,61 @@
             renewals=renewals,
         )
 
-    def accept(self, lent: SlotsLent, now_s: float) -> frozenset[str]:
-        """Take the answer of a lender; return services with new loans.
+    def on_lent(self, lent: SlotsLent, now_s: float) -> frozenset[str]:
+        """Handle the reply of a lender; return services with new loans.
 
         Parameters
         ----------
         lent
-            The answer; one that comes twice or too late changes nothing.
+            The reply; a duplicate or late one is ignored.
         now_s
             Monotonic time of this process, in seconds.
         """
         if lent.borrower_incarnation_ns != self._incarnation_ns:
             return frozenset()
-        asked_s = self._asked_s.pop(lent.sequence, None)
-        if asked_s is None:
+        sent_s = self._request_sent_s.pop(lent.sequence, None)
+        if sent_s is None:
             return frozenset()
         self._lenders[lent.lender] = lent.lender_incarnation_ns
-        valid_until_s = asked_s + lent.lease_s
+        valid_until_s = sent_s + lent.lease_s
         for loan_id in lent.renewed:
-            slot = self._slots.get(_key(lent, loan_id))
+            slot = self._slots.get(_loan_key(lent, loan_id))
             if slot is not None:
                 slot.valid_until_s = max(slot.valid_until_s, valid_until_s)
         for loan in lent.loans:
-            self._insert(_key(lent, loan.loan_id), loan, valid_until_s, now_s)
+            self._add_slot(
+                _loan_key(lent, loan.loan_id), loan, valid_until_s, now_s
+            )
         return frozenset(loan.record.service for loan in lent.loans)
 
-    def free(self, key: TargetKey, now_s: float) -> Iterator[BorrowedSlot]:
-        """Iterate over the slots of a target that may be filled now."""
+    def free_slots(
+        self, key: TargetKey, now_s: float
+    ) -> Iterator[BorrowedSlot]:
+        """Iterate over the borrowed slots of a target that are free now."""
         for slot in self._by_target.get(key, ()):
             if slot.is_free(now_s):
                 yield slot
 
     def targets(self, service: str) -> Iterator[TargetRecord]:
-        """Iterate over the targets of a service with a borrowed slot."""
+        """Iterate over the targets of a service that have a borrowed slot."""
         for slots in self._by_target.values():
             record = slots[0].record
             if record.service == service:
                 yield record
 
     def collect_returns(self, now_s: float) -> Iterator[Outgoing]:
-        """Stop using unwanted slots and iterate over what to send for it."""
-        if self._asked_s:
-            self._forget_questions(now_s)
-        unwanted = [
-            slot for slot in self._slots.values() if slot.is_unwanted(now_s)
+        """Remove returnable slots and iterate over the return messages."""
+        if self._request_sent_s:
+            self._drop_expired_requests(now_s)
+        returnable = [
+            slot for slot in self._slots.values() if slot.is_returnable(now_s)
         ]
-        for one in unwanted:
-            self._remove(one)
-            yield Outgoing(one.key.lender, self._returned(one.key))
+        for slot in returnable:
+            self._remove(slot)
+            yield Outgoing(slot.key.lender, self._build_return(slot.key))
 
     def lenders(self) -> set[str]:
-        """Return the names of all entries that lent something."""
+        """Return the names of all entries with a loan to this one."""
         return {slot.key.lender for slot in self._slots.values()}
 
     def _renewals(self, lender: str, now_s: float) -> tuple[int, ...]:
@@ -173,10 +179,10 @@
             if slot.key.lender == lender
             and slot.key.lender_incarnation_ns == current
             and slot.valid_until_s - now_s < _RENEW_BEFORE_END_S
-            and not slot.is_unwanted(now_s)
+            and not slot.is_returnable(now_s)
         )
 
-    def _insert(
+    def _add_slot(
         self,
         key: LoanKey,
         loan: SlotLoan,
@@ -195,7 +201,7 @@
         if not self._by_target[target]:
             self._by_target.pop(target)
 
-    def _returned(self, key: LoanKey) -> SlotsReturned:
+    def _build_return(self, key: LoanKey) -> SlotsReturned:
         return SlotsReturned(
             borrower=self._name,
             borrower_incarnation_ns=self._incarnation_ns,
@@ -203,14 +209,14 @@
             loan_ids=(key.loan_id,),
         )
 
-    def _forget_questions(self, now_s: float) -> None:
-        # An answer that comes after the lease it grants is worth nothing.
-        self._asked_s = {
-            sequence: asked_s
-            for sequence, asked_s in self._asked_s.items()
-            if now_s - asked_s < LEASE_S
+    def _drop_expired_requests(self, now_s: float) -> None:
+        # A reply that arrives after this time grants an already expired lease.
+        self._request_sent_s = {
+            sequence: sent_s
+            for sequence, sent_s in self._request_sent_s.items()
+            if now_s - sent_s < LEASE_S
         }
 
 
-def _key(lent: SlotsLent, loan_id: int) -> LoanKey:
+def _loan_key(lent: SlotsLent, loan_id: int) -> LoanKey:
     return LoanKey(lent.lender, lent.lender_incarnation_ns, loan_id)
--- a/src/wigeonreach/entry/_credits_daemon.py
+++ b/src/wigeonreach/entry/_credits_daemon.py
@@ -1,4 +1,4 @@
-"""Carry loans of slots between this entry and the others."""
+"""Exchange slot loans with the other entries."""
 
 from __future__ import annotations
 
@@ -24,18 +24,18 @@
 
 
 class CreditDaemon(mode.Service):
-    """Pass messages between the router's credits and the peers.
+    """Exchanges slot loan messages between the router and the peers.
 
     Parameters
     ----------
     router
-        Whose slots are lent and borrowed.
+        Router whose slots are lent and borrowed.
     peers
         Channels to the other entries.
     metrics
         Counters of loans and of ejected targets.
     logger
-        Where events are logged.
+        Log for ejected and restored targets.
     """
 
     def __init__(
@@ -45,7 +45,7 @@
         metrics: Metrics,
         logger: Logger,
     ) -> None:
-        """Take over the handling of messages about slots."""
+        """Register the handlers of slot loan messages."""
         super().__init__()
         self._metrics = metrics
         self._log = logger
@@ -58,15 +58,15 @@
         peers.handle(SlotsReturned, self._on_returned)
         peers.handle(TargetFirstSeen, self._on_first_seen)
         peers.on_refused(self._credits.note_refused)
-        peers.on_heard(self._credits.note_connected)
+        peers.on_connected(self._credits.note_connected)
 
     def note_announced(self, record: TargetRecord) -> None:
-        """Learn what a target announced to this entry itself.
+        """Handle an announcement that a target sent to this entry.
 
-        The first announcement of an incarnation proves that no entry, nor a
-        former incarnation of one, has anything in flight there.  It is told
-        on channels that are open now, so that only incarnations hear it that
-        lived before the target was known.
+        The first announcement of an incarnation proves that no entry, nor an
+        earlier incarnation of one, has a request in flight at the target.  It
+        is relayed only on channels that are open now, so that only entry
+        incarnations started before the target was known receive it.
         """
         if record.sequence != _FIRST_SEQUENCE:
             return
@@ -79,9 +79,9 @@
     @mode.Service.task
     async def _tick(self) -> None:
         while not self.should_stop:
-            for one in self._router.tick(time.monotonic()):
-                self._peers.post(one.peer, one.message)
-            self._tell_ejected()
+            for outgoing in self._router.tick(time.monotonic()):
+                self._peers.post(outgoing.peer, outgoing.message)
+            self._log_ejections()
             await self.sleep(_TICK_S)
 
     def _on_asked(self, hello: PeerHello, asked: SlotsAsked) -> None:
@@ -94,8 +94,8 @@
         self._count_loans(
             'not_renewed', len(asked.renewals) - len(lent.renewed)
         )
-        wished = sum(wish.count for wish in asked.wishes)
-        self._count_loans('refused', wished - len(lent.loans))
+        requested = sum(wish.count for wish in asked.wishes)
+        self._count_loans('refused', requested - len(lent.loans))
         self._peers.post(hello.process, lent)
 
     def _on_lent(self, _hello: PeerHello, lent: SlotsLent) -> None:
@@ -115,7 +115,7 @@
         if amount:
             self._metrics.count('slot_loans', reason, amount)
 
-    def _tell_ejected(self) -> None:
+    def _log_ejections(self) -> None:
         ejected = self._router.ejected_targets()
         for key in ejected - self._ejected:
             self._metrics.count('targets_ejected')
--- a/src/wigeonreach/entry/_credits_exchange.py
+++ b/src/wigeonreach/entry/_credits_exchange.py
@@ -1,4 +1,4 @@
-"""Decide what to lend, what to ask for and which slot to fill."""
+"""Decide which slots to lend, which to borrow and which one to use."""
 
 from __future__ import annotations
 
@@ -21,22 +21,22 @@
 )
 from wigeonreach.wire._target_messages import TargetRecord
 
-_MOST_WISHED = 32
+_MAX_SLOTS_PER_REQUEST = 32
 
 
 class CreditExchange:
-    """The slots that this entry may fill, from wherever they come.
+    """All slots that this entry may use: own, taken over and borrowed.
 
     Parameters
     ----------
     sharer
-        This entry among those that share the targets.
+        Identity of this entry among those that share the targets.
     membership
-        The targets that may be given new work.
+        The known targets.
     rng
-        Chooses which entry of another zone is asked first.
+        Selects the entry of another zone to ask first.
     work_bound_s
-        Returns the longest run of a service, in seconds.
+        Returns the maximum duration of a request of a service, in seconds.
     """
 
     def __init__(
@@ -46,11 +46,11 @@
         rng: random.Random,
         work_bound_s: Callable[[str], float],
     ) -> None:
-        """Start with the own shares alone."""
+        """Start without any loan."""
         self._sharer = sharer
         self._membership = membership
-        # Entries start at different places, so as not to ask all the same one.
-        self._turn = rng.randrange(max(1, len(sharer.foreign_peers)))
+        # A random start keeps the entries from all asking the same one.
+        self._foreign_index = rng.randrange(max(1, len(sharer.foreign_peers)))
         self._work_bound_s = work_bound_s
         self._lender = Lender(sharer, work_bound_s)
         self._borrower = Borrower(
@@ -62,7 +62,7 @@
         self._demands = Demands()
 
     def own_targets(self, service: str, now_s: float) -> list[TargetRecord]:
-        """Return the targets of this zone that may be given new work."""
+        """Return the targets of this zone that accept new requests."""
         return [
             member.record
             for member in self._membership.serving(service, now_s)
@@ -78,7 +78,7 @@
         ]
 
     def take(self, record: TargetRecord, now_s: float) -> SlotSource | None:
-        """Fill a slot of a target, the own ones before those lent.
+        """Occupy a slot of a target, preferring own slots to borrowed ones.
 
         Parameters
         ----------
@@ -90,55 +90,55 @@
         Returns
         -------
         SlotSource or None
-            Where the slot goes back to; None if no slot is free.
+            Where to release the slot; None if no slot is free.
         """
         if record.zone == self._sharer.zone:
             share = self._lender.share(record)
             if share.free(now_s) > 0:
                 share.take(now_s)
                 return share.pool
-            for pool in self._taken_over(record, now_s):
+            for pool in self._takeover_pools(record, now_s):
                 pool.take()
                 return pool
         key = TargetKey(record.target_id, record.incarnation_ns)
-        for borrowed in self._borrower.free(key, now_s):
+        for borrowed in self._borrower.free_slots(key, now_s):
             borrowed.take(now_s)
             return borrowed.pool
         return None
 
     def note_unmet(self, service: str, now_s: float) -> None:
-        """Learn that a request found no slot."""
+        """Record that no slot was free for a request."""
         self._demands.note_unmet(service, now_s)
 
     def note_first_seen(self, key: TargetKey) -> None:
-        """Learn that no entry knew this incarnation of a target before."""
+        """Record that this incarnation of a target was unknown to all entries."""
         self._lender.note_first_seen(key)
 
     def note_connected(self, peer: str) -> None:
-        """Learn that a peer accepted a connection."""
+        """Record that a peer accepted a connection."""
         self._takeover.note_connected(peer)
 
     def note_refused(self, peer: str, began_s: float) -> None:
-        """Learn that a connection tried at ``began_s`` was refused."""
+        """Record that a connection attempted at ``began_s`` was refused."""
         if peer in self._sharer.zone_peers:
             self._takeover.note_refused(peer, began_s)
 
     def on_asked(self, asked: SlotsAsked, now_s: float) -> SlotsLent | None:
-        """Answer an entry that wants to borrow.
+        """Handle a loan request of another entry.
 
         Parameters
         ----------
         asked
-            What it wants.
+            The request.
         now_s
             Monotonic time of this process, in seconds.
 
         Returns
         -------
         SlotsLent or None
-            The answer; None to a request that was overtaken.
+            The reply; None if a newer request arrived before this one.
         """
-        if self._lender.is_repeated(asked):
+        if self._lender.is_outdated(asked):
             return None
         renewed = self._lender.renew(
             asked,
@@ -159,40 +159,40 @@
         )
 
     def on_lent(self, lent: SlotsLent, now_s: float) -> None:
-        """Take the answer of a lender."""
-        for service in self._borrower.accept(lent, now_s):
+        """Handle the reply of a lender."""
+        for service in self._borrower.on_lent(lent, now_s):
             self._demands.note_granted(service, lent.lender)
 
     def on_returned(self, returned: SlotsReturned) -> None:
-        """Take loans back that a borrower is done with."""
-        self._lender.take_back(returned)
+        """Handle loans that a borrower returned."""
+        self._lender.on_returned(returned)
 
     def forget_idle(self, known: set[TargetKey], now_s: float) -> None:
-        """Forget targets that are gone."""
+        """Remove the state of targets that are no longer known."""
         self._lender.forget_idle(known, now_s)
         self._takeover.forget_idle(known, now_s)
 
     def tick(self, now_s: float) -> list[Outgoing]:
-        """Return loans that are done with and ask for what is missing."""
+        """Return the messages that give back and request loans."""
         outgoing = list(self._borrower.collect_returns(now_s))
         unmet = self._demands.take_unmet()
-        short = self._short_in_zone(unmet, now_s)
+        unmet_in_zone = self._unmet_in_zone(unmet, now_s)
         lenders = self._borrower.lenders()
         if unmet:
             lenders.update(self._sharer.zone_peers)
-        abroad = self._lender_abroad() if short else None
-        if abroad is not None:
-            lenders.add(abroad)
+        foreign_lender = self._next_foreign_lender() if unmet_in_zone else None
+        if foreign_lender is not None:
+            lenders.add(foreign_lender)
         for lender in sorted(lenders):
-            is_near = lender in self._sharer.zone_peers
-            wanted = unmet if is_near else short
-            if not is_near and lender != abroad:
+            is_same_zone = lender in self._sharer.zone_peers
+            wanted = unmet if is_same_zone else unmet_in_zone
+            if not is_same_zone and lender != foreign_lender:
                 wanted = {}
-            outgoing.extend(self._ask(lender, wanted, now_s))
+            outgoing.extend(self._build_requests(lender, wanted, now_s))
         return outgoing
 
     def may_spill(self, service: str, now_s: float) -> bool:
-        """Whether another zone may still lend slots of a service.
+        """Whether an entry of another zone may be asked for a service's slots.
 
         Parameters
         ----------
@@ -206,7 +206,7 @@
             for foreign in self._sharer.foreign_peers
         )
 
-    def _ask(
+    def _build_requests(
         self,
         lender: str,
         unmet: dict[str, int],
@@ -215,7 +215,7 @@
         wishes = tuple(
             SlotWish(
                 service,
-                min(count, _MOST_WISHED),
+                min(count, _MAX_SLOTS_PER_REQUEST),
                 self._work_bound_s(service),
             )
             for service, count in unmet.items()
@@ -223,7 +223,7 @@
         )
         for wish in wishes:
             self._demands.note_asked(wish.service, lender, now_s)
-        asked = self._borrower.ask(lender, wishes, now_s)
+        asked = self._borrower.build_request(lender, wishes, now_s)
         if asked is not None:
             yield Outgoing(lender, asked)
 
@@ -232,7 +232,7 @@
             return self._demands.may_ask(service, lender, now_s)
         return self._demands.may_ask_far(service, lender, now_s)
 
-    def _short_in_zone(
+    def _unmet_in_zone(
         self,
         unmet: dict[str, int],
         now_s: float,
@@ -246,12 +246,12 @@
             )
         }
 
-    def _lender_abroad(self) -> str | None:
+    def _next_foreign_lender(self) -> str | None:
         peers = self._sharer.foreign_peers
         if not peers:
             return None
-        self._turn += 1
-        return peers[self._turn % len(peers)]
+        self._foreign_index += 1
+        return peers[self._foreign_index % len(peers)]
 
     def _lend(
         self,
@@ -273,12 +273,12 @@
             for record in self.own_targets(service, now_s)
         )
 
-    def _taken_over(
+    def _takeover_pools(
         self,
         record: TargetRecord,
         now_s: float,
     ) -> Iterator[SlotPool]:
-        return self._takeover.free(
+        return self._takeover.free_pools(
             record,
             self._work_bound_s(record.service),
             now_s,
--- a/src/wigeonreach/entry/_credits_lender.py
+++ b/src/wigeonreach/entry/_credits_lender.py
@@ -1,4 +1,4 @@
-"""Lend slots of this entry's own shares and take them back safely."""
+"""Lend slots of this entry's own shares and reclaim them safely."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 from wigeonreach.entry._credits import (
     LEASE_S,
     Sharer,
-    foreign_cap,
-    home_share,
-    reserve_of,
+    foreign_loan_limit,
+    permanent_share,
+    reserved_slots,
 )
 from wigeonreach.entry._slots import SlotPool, TargetKey
 from wigeonreach.wire._credit_messages import (
@@ -26,7 +26,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Loan:
-    """One slot that another entry may fill for a while."""
+    """A slot lent to another entry until ``reclaim_s``."""
 
     target: TargetKey
     borrower: str
@@ -36,10 +36,10 @@
     reclaim_s: float
 
     def renew(self, now_s: float) -> None:
-        """Start the lease again.
+        """Extend the loan by a full lease.
 
-        The borrower counts its lease from before it asked, so that it ends
-        before this one; a request sent at its very end may then be at work
+        The borrower counts its lease from before it sent the request, so that
+        its lease ends first.  A request sent just before that may then run
         for another ``work_bound_s``.
         """
         self.reclaim_s = now_s + LEASE_S + self.work_bound_s
@@ -52,12 +52,12 @@
     pool: SlotPool
     usable_from_s: float
     loans: dict[int, Loan] = dataclasses.field(default_factory=dict)
-    window_s: float = 0
+    window_start_s: float = 0
     peak: int = 0
-    last_peak: int = 0
+    previous_peak: int = 0
 
     def free(self, now_s: float) -> int:
-        """Return how many slots this entry may fill now."""
+        """Return how many slots this entry may occupy now."""
         if now_s < self.usable_from_s:
             return 0
         self._reclaim(now_s)
@@ -65,27 +65,29 @@
 
     def lendable(self, now_s: float) -> int:
         """Return how many more slots may be lent within the zone."""
-        self._roll(now_s)
-        kept = max(reserve_of(self.pool.size), self.peak, self.last_peak)
-        unlent = self.pool.size - len(self.loans) - kept
-        return min(unlent, self.free(now_s))
+        self._advance_window(now_s)
+        retained = max(
+            reserved_slots(self.pool.size), self.peak, self.previous_peak
+        )
+        available = self.pool.size - len(self.loans) - retained
+        return min(available, self.free(now_s))
 
-    def lendable_abroad(self, now_s: float) -> int:
+    def lendable_to_other_zones(self, now_s: float) -> int:
         """Return how many more slots may be lent to other zones.
 
-        Only while more than half of the share lies idle, so that callers of
-        another zone can't crowd out those of this one.
+        Nothing is lent unless more than half of the share is idle, so that
+        requests of other zones can't starve those of this one.
         """
         idle = self.lendable(now_s)
         if idle * 2 <= self.pool.size:
             return 0
-        abroad = sum(loan.is_foreign for loan in self.loans.values())
-        return min(idle, foreign_cap(self.pool.size) - abroad)
+        foreign_loans = sum(loan.is_foreign for loan in self.loans.values())
+        return min(idle, foreign_loan_limit(self.pool.size) - foreign_loans)
 
     def take(self, now_s: float) -> None:
-        """Fill one slot and remember the peak of use."""
+        """Occupy a slot and update the peak usage."""
         self.pool.take()
-        self._roll(now_s)
+        self._advance_window(now_s)
         self.peak = max(self.peak, self.pool.busy(now_s))
 
     def _reclaim(self, now_s: float) -> None:
@@ -94,17 +96,19 @@
             for loan_id, loan in self.loans.items()
             if loan.reclaim_s <= now_s
         ]
-        for one in ended:
-            self.loans.pop(one)
+        for loan_id in ended:
+            self.loans.pop(loan_id)
 
-    def _roll(self, now_s: float) -> None:
-        past_s = now_s - self.window_s
-        if past_s < _PEAK_WINDOW_S:
+    def _advance_window(self, now_s: float) -> None:
+        elapsed_s = now_s - self.window_start_s
+        if elapsed_s < _PEAK_WINDOW_S:
             return
         busy = self.pool.busy(now_s)
-        self.last_peak = self.peak if past_s < 2 * _PEAK_WINDOW_S else busy
+        self.previous_peak = (
+            self.peak if elapsed_s < 2 * _PEAK_WINDOW_S else busy
+        )
         self.peak = busy
-        self.window_s = now_s
+        self.window_start_s = now_s
 
 
 class Lender:
@@ -113,10 +117,11 @@
     Parameters
     ----------
     sharer
-        This entry.  What its former incarnation lent or had in flight is
-        unknown; it ends one lease and one longest run after the start.
+        Identity of this entry.  The loans and requests in flight of its
+        previous incarnation are unknown; all of them have ended one lease
+        plus one maximum request duration after the start.
     work_bound_s
-        Returns the longest run of a service, in seconds.
+        Returns the maximum duration of a request of a service, in seconds.
     """
 
     def __init__(
@@ -124,18 +129,18 @@
         sharer: Sharer,
         work_bound_s: Callable[[str], float],
     ) -> None:
-        """Start with no share known."""
+        """Start without any share."""
         self._sharer = sharer
         self._work_bound_s = work_bound_s
         self._shares: dict[TargetKey, OwnShare] = {}
-        self._unknown_before: set[TargetKey] = set()
+        self._first_seen: set[TargetKey] = set()
         self._loans: dict[int, Loan] = {}
         self._sequences: dict[str, tuple[int, int]] = {}
         self._last_loan_id = 0
 
     def note_first_seen(self, key: TargetKey) -> None:
-        """Learn that no entry knew this incarnation of a target before."""
-        self._unknown_before.add(key)
+        """Record that this incarnation of a target was unknown to all entries."""
+        self._first_seen.add(key)
         share = self._shares.get(key)
         if share is not None:
             share.usable_from_s = self._sharer.started_s
@@ -149,8 +154,8 @@
             self._shares[key] = found
         return found
 
-    def is_repeated(self, asked: SlotsAsked) -> bool:
-        """Whether a request was overtaken by a later one of its sender."""
+    def is_outdated(self, asked: SlotsAsked) -> bool:
+        """Whether this or a newer request of the sender was handled before."""
         newest = (asked.borrower_incarnation_ns, asked.sequence)
         if newest <= self._sequences.get(asked.borrower, (0, 0)):
             return True
@@ -160,17 +165,17 @@
     def renew(
         self,
         asked: SlotsAsked,
-        is_kept: Callable[[str, TargetKey], bool],
+        may_renew: Callable[[str, TargetKey], bool],
         now_s: float,
     ) -> tuple[int, ...]:
-        """Renew loans and return which.
+        """Renew loans and return the identifiers of those renewed.
 
         Parameters
         ----------
         asked
             The borrower's request.
         is_kept
-            Tells by service and target whether the loan may go on.
+            Returns whether a loan of a service's target may be renewed.
         now_s
             Monotonic time of this process, in seconds.
         """
@@ -178,8 +183,8 @@
             return ()
         renewed: list[int] = []
         for loan_id in asked.renewals:
-            loan = self._outstanding(loan_id, now_s)
-            if loan is not None and is_kept(loan.service, loan.target):
+            loan = self._active_loan(loan_id, now_s)
+            if loan is not None and may_renew(loan.service, loan.target):
                 loan.renew(now_s)
                 renewed.append(loan_id)
         return tuple(renewed)
@@ -191,16 +196,16 @@
         records: Iterable[TargetRecord],
         now_s: float,
     ) -> list[SlotLoan]:
-        """Lend up to as many slots as wished, evenly over the targets.
+        """Lend up to the requested number of slots, evenly over the targets.
 
         Parameters
         ----------
         asked
             The borrower's request.
         wish
-            One of its wishes.
+            The requested service and number of slots.
         records
-            Targets of the service that may be given new work.
+            Targets of the service that accept new requests.
         now_s
             Monotonic time of this process, in seconds.
 
@@ -209,20 +214,20 @@
         list of SlotLoan
             The new loans.
         """
-        open_records = list(records)
+        candidates = list(records)
         lent: list[SlotLoan] = []
-        while open_records and len(lent) < wish.count:
-            open_records = [
+        while candidates and len(lent) < wish.count:
+            candidates = [
                 record
-                for record in open_records
+                for record in candidates
                 if self._lendable(asked, record, now_s) > 0
             ]
-            for record in open_records[: wish.count - len(lent)]:
+            for record in candidates[: wish.count - len(lent)]:
                 lent.append(self._lend_one(asked, wish, record, now_s))
         return lent
 
-    def take_back(self, returned: SlotsReturned) -> None:
-        """Take loans back before their time."""
+    def on_returned(self, returned: SlotsReturned) -> None:
+        """Handle loans that were returned before their lease ended."""
         if returned.lender_incarnation_ns != self._sharer.incarnation_ns:
             return
         for loan_id in returned.loan_ids:
@@ -231,7 +236,7 @@
                 self._shares[loan.target].loans.pop(loan_id, None)
 
     def forget_idle(self, known: set[TargetKey], now_s: float) -> None:
-        """Forget shares of targets that are gone and have nothing left."""
+        """Remove unused shares of targets that are no longer known."""
         gone = [
             key
             for key, share in self._shares.items()
@@ -246,23 +251,23 @@
             for loan_id, loan in self._loans.items()
             if loan.reclaim_s > now_s
         }
-        self._unknown_before.intersection_update(known)
+        self._first_seen.intersection_update(known)
 
-    def _outstanding(self, loan_id: int, now_s: float) -> Loan | None:
+    def _active_loan(self, loan_id: int, now_s: float) -> Loan | None:
         loan = self._loans.get(loan_id)
         if loan is None or loan.reclaim_s <= now_s:
             return None
         return loan
 
     def _new_share(self, key: TargetKey, record: TargetRecord) -> OwnShare:
-        size = home_share(
+        size = permanent_share(
             record.slots,
             self._sharer.zone_names,
             self._sharer.name,
             record.target_id,
         )
         usable_from_s = self._sharer.started_s
-        if key not in self._unknown_before:
+        if key not in self._first_seen:
             usable_from_s += LEASE_S + self._work_bound_s(record.service)
         return OwnShare(SlotPool(size), usable_from_s)
 
@@ -275,7 +280,7 @@
         share = self.share(record)
         if asked.zone == self._sharer.zone:
             return share.lendable(now_s)
-        return share.lendable_abroad(now_s)
+        return share.lendable_to_other_zones(now_s)
 
     def _lend_one(
         self,
--- a/src/wigeonreach/entry/_credits_takeover.py
+++ b/src/wigeonreach/entry/_credits_takeover.py
@@ -1,20 +1,23 @@
-"""Use the shares of a peer whose process is known to be gone."""
+"""Use the shares of peers whose process is known to have ended."""
 
 from __future__ import annotations
 
 import dataclasses
 from collections.abc import Iterator, Sequence
 
-from wigeonreach.entry._credits import LEASE_S, home_share
+from wigeonreach.entry._credits import LEASE_S, permanent_share
 from wigeonreach.entry._slots import SlotPool, TargetKey
 from wigeonreach.wire._target_messages import TargetRecord
 
 
 @dataclasses.dataclass(slots=True)
-class Absence:
-    """An unbroken run of refused connections to a peer."""
+class RefusalPeriod:
+    """A series of refused connections to a peer without a longer gap.
 
-    since_s: float
+    Both times are monotonic seconds.
+    """
+
+    first_s: float
     last_s: float
 
 
@@ -27,66 +30,66 @@
 class Takeover:
     """Shares of peers that refuse connections.
 
-    A refused connection proves that no process listens, which silence does
-    not.  The shares may be used from one lease and one longest run after the
-    first refusal, when what the gone process lent or had in flight has
-    ended.  A restarted peer waits as long before it uses them itself, counted
-    from its start, and it refuses no connection from then on.
+    A refused connection proves that no process is listening; a timeout does
+    not.  The shares may be used one lease plus one maximum request duration
+    after the first refusal, when all loans and requests of the ended process
+    have ended too.  A restarted peer waits for the same time after its start
+    before it uses its shares, and it refuses no connections from then on.
 
     Parameters
     ----------
     names
-        All entries of the zone, this one among them.
+        Names of all entries of the zone, this one included.
     """
 
     def __init__(self, names: Sequence[str]) -> None:
-        """Start with no peer absent."""
+        """Start without any refused connection."""
         self._names = tuple(names)
         self._connected: set[str] = set()
-        self._absences: dict[str, Absence] = {}
+        self._refusals: dict[str, RefusalPeriod] = {}
         self._pools: dict[_PoolKey, SlotPool] = {}
 
     def note_connected(self, peer: str) -> None:
-        """Learn that a peer's process lives at the address we know."""
+        """Record that a peer's process runs at its configured address."""
         self._connected.add(peer)
-        self._absences.pop(peer, None)
+        self._refusals.pop(peer, None)
 
     def note_refused(self, peer: str, began_s: float) -> None:
-        """Learn that a connection to a peer was refused.
+        """Record that a connection to a peer was refused.
 
         Parameters
         ----------
         peer
-            Name of the peer.  One that never listened at its address may
-            serve at another and counts as present.
+            Name of the peer.  A peer that never accepted a connection at its
+            address may run at another one, so its refusals are ignored.
         began_s
-            Monotonic time at which the connection was tried.
+            Monotonic time at which the connection was attempted, in seconds.
         """
         if peer not in self._connected:
             return
-        absence = self._absences.get(peer)
-        if absence is None or began_s - absence.last_s >= LEASE_S:
-            # A process may have come and gone in a longer gap.
-            self._absences[peer] = Absence(began_s, began_s)
+        refusal = self._refusals.get(peer)
+        if refusal is None or began_s - refusal.last_s >= LEASE_S:
+            # A process may have started and ended within a longer gap.
+            self._refusals[peer] = RefusalPeriod(began_s, began_s)
         else:
-            absence.last_s = began_s
+            refusal.last_s = began_s
 
-    def free(
+    def free_pools(
         self,
         record: TargetRecord,
         work_bound_s: float,
         now_s: float,
     ) -> Iterator[SlotPool]:
-        """Iterate over the pools with a slot of a target to fill now."""
-        for peer, absence in self._absences.items():
-            from_s = absence.since_s + LEASE_S + work_bound_s
-            if from_s <= now_s < absence.last_s + LEASE_S:
+        """Iterate over the taken-over pools with a free slot of a target."""
+        for peer, refusal in self._refusals.items():
+            usable_from_s = refusal.first_s + LEASE_S + work_bound_s
+            if usable_from_s <= now_s < refusal.last_s + LEASE_S:
                 pool = self._pool(peer, record)
                 if pool.busy(now_s) < pool.size:
                     yield pool
 
     def forget_idle(self, known: set[TargetKey], now_s: float) -> None:
-        """Forget pools of targets that are gone and have nothing left."""
+        """Remove unused pools of targets that are no longer known."""
         self._pools = {
             key: pool
             for key, pool in self._pools.items()
@@ -98,14 +101,14 @@
         key = _PoolKey(peer, target)
         pool = self._pools.get(key)
         if pool is None:
-            share = home_share(
+            share = permanent_share(
                 record.slots,
                 self._names,
                 peer,
                 record.target_id,
             )
-            # Each other entry may see the same absence or not: they divide
-            # the share among them without asking each other.
+            # Every other entry may see the same refusals.  They divide the
+            # share equally among themselves without coordination.
             pool = SlotPool(share // (len(self._names) - 1))
             self._pools[key] = pool
         return pool
--- a/src/wigeonreach/entry/_spreading.py
+++ b/src/wigeonreach/entry/_dissemination.py
@@ -1,4 +1,4 @@
-"""Decide what to tell the zone's entries, and how old what they tell is."""
+"""Build and merge the target messages exchanged within a zone."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from wigeonreach.entry._contact import Contacts
-from wigeonreach.entry._member import Member, aged
+from wigeonreach.entry._contact import PeerContacts
+from wigeonreach.entry._member import Member, with_current_age
 from wigeonreach.entry._membership import Membership, Merge
 from wigeonreach.wire._base import WireMessage
 from wigeonreach.wire._target_messages import (
@@ -18,48 +18,48 @@
     Targets,
 )
 
-_PASSED_ON_WHOLE = frozenset((Merge.JOINED, Merge.CHANGED, Merge.LEFT))
+_RELAYED_IN_FULL = frozenset((Merge.JOINED, Merge.CHANGED, Merge.LEFT))
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ToPeer:
-    """One message to send to one entry of the zone."""
+class PeerMessage:
+    """A message to send to another entry of the zone."""
 
     peer: str
     message: WireMessage
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Merged:
-    """What one record changed."""
+class MergedRecord:
+    """A record and the effect of merging it."""
 
     record: TargetRecord
     merge: Merge
 
 
-class Spreading:
-    """What this entry tells the others of its zone, and hears from them.
+class Dissemination:
+    """Relays target records within the zone and merges those received.
 
     Parameters
     ----------
     membership
-        Table that is kept up to date.
+        The membership to update.
     contacts
-        Contact with each peer.
+        Heartbeat state of each peer.
     incarnation_ns
         Incarnation of this entry.
     zone_names
-        The other entries of the zone.
+        Names of the other entries of the zone.
     """
 
     def __init__(
         self,
         membership: Membership,
-        contacts: Contacts,
+        contacts: PeerContacts,
         incarnation_ns: int,
         zone_names: tuple[str, ...],
     ) -> None:
-        """Start with nothing to tell."""
+        """Start with no renewals to send."""
         self._membership = membership
         self._contacts = contacts
         self._incarnation_ns = incarnation_ns
@@ -70,44 +70,46 @@
         self,
         record: TargetRecord,
         now_s: float,
-    ) -> tuple[Merge, list[ToPeer]]:
-        """Merge what a target announced here.
+    ) -> tuple[Merge, list[PeerMessage]]:
+        """Merge an announcement that a target sent to this entry.
 
         Parameters
         ----------
         record
-            What the target announced, with the time that it waited as age.
+            The announced record; its age is the time that it waited here.
         now_s
             Monotonic time of this process, in seconds.
 
         Returns
         -------
-        tuple of Merge and list of ToPeer
-            What it changed, and what to send at once.
+        tuple of Merge and list of PeerMessage
+            Effect of the record, and the messages to send immediately.
         """
         merged = self._membership.merge(record, now_s)
         if merged is Merge.RENEWED:
             self._renewed.add(record.target_id)
-        if merged in _PASSED_ON_WHOLE:
-            return merged, self.tell(record.target_id, now_s)
+        if merged in _RELAYED_IN_FULL:
+            return merged, self.announce(record.target_id, now_s)
         return merged, []
 
-    def tell(self, target_id: str, now_s: float) -> list[ToPeer]:
-        """Return messages that tell every entry of one target."""
+    def announce(self, target_id: str, now_s: float) -> list[PeerMessage]:
+        """Return the messages that send the record of a target to all peers."""
         members = self._find((target_id,))
-        records = tuple(aged(member, now_s) for member in members)
+        records = tuple(with_current_age(member, now_s) for member in members)
         return [
-            ToPeer(name, self._addressed(name, records))
+            PeerMessage(name, self._build_targets(name, records))
             for name in self._zone_names
         ]
 
-    def sync(self, name: str, now_s: float) -> Iterator[WireMessage]:
-        """Yield what a peer must know before it is in contact."""
+    def initial_messages(
+        self, name: str, now_s: float
+    ) -> Iterator[WireMessage]:
+        """Yield the messages that a peer needs before it is in contact."""
         if name in self._zone_names:
-            yield self._addressed(name, self._membership.records(now_s))
+            yield self._build_targets(name, self._membership.records(now_s))
 
-    def take_renewed(self, now_s: float) -> list[ToPeer]:
-        """Return the renewals since the last call, batched for each peer."""
+    def take_renewals(self, now_s: float) -> list[PeerMessage]:
+        """Return the renewals since the last call, one batch for each peer."""
         renewals = tuple(
             Renewal(
                 member.record.target_id,
@@ -121,59 +123,61 @@
         if not renewals:
             return []
         return [
-            ToPeer(name, self._batched(name, renewals))
+            PeerMessage(name, self._build_renewals(name, renewals))
             for name in self._zone_names
         ]
 
-    def on_targets(self, targets: Targets, now_s: float) -> list[Merged]:
+    def on_targets(self, targets: Targets, now_s: float) -> list[MergedRecord]:
         """Merge the records that a peer sent."""
-        under_way_s = self._under_way_s(targets, now_s)
+        max_delay_s = self._max_delay_s(targets, now_s)
         return [
-            Merged(record, self._merge_old(record, under_way_s, now_s))
+            MergedRecord(
+                record, self._merge_delayed(record, max_delay_s, now_s)
+            )
             for record in targets.records
         ]
 
     def on_renewals(self, batch: Renewals, now_s: float) -> None:
         """Merge the renewals that a peer sent."""
-        under_way_s = self._under_way_s(batch, now_s)
+        max_delay_s = self._max_delay_s(batch, now_s)
         for renewal in batch.renewals:
-            self._membership.renew(
+            self._membership.merge_renewal(
                 msgspec.structs.replace(
                     renewal,
-                    age_s=renewal.age_s + under_way_s,
+                    age_s=renewal.age_s + max_delay_s,
                 ),
                 now_s,
             )
 
-    def extend_contact(self) -> None:
-        """Let the membership know until when the zone is in contact."""
-        self._membership.extend_contact(
-            self._contacts.covered_until_s(self._zone_names),
+    def update_contact(self) -> None:
+        """Update until when the membership is in contact with the zone."""
+        self._membership.set_contact_until(
+            self._contacts.in_contact_until_s(self._zone_names),
         )
 
     def on_restart(self, name: str, now_s: float) -> None:
-        """Learn that a peer was restarted and may have forgotten a leave."""
+        """Handle the restart of a peer, which may have lost a leave."""
         if name in self._zone_names:
-            self._membership.distrust(now_s)
-            self.extend_contact()
+            self._membership.require_confirmation(now_s)
+            self.update_contact()
 
-    def _merge_old(
+    def _merge_delayed(
         self,
         record: TargetRecord,
-        under_way_s: float,
+        max_delay_s: float,
         now_s: float,
     ) -> Merge:
-        older = msgspec.structs.replace(
+        delayed = msgspec.structs.replace(
             record,
-            age_s=record.age_s + under_way_s,
+            age_s=record.age_s + max_delay_s,
         )
-        return self._membership.merge(older, now_s)
+        return self._membership.merge(delayed, now_s)
 
-    def _under_way_s(self, batch: Targets | Renewals, now_s: float) -> float:
-        """Return the longest time that a batch can have been under way."""
+    def _max_delay_s(self, batch: Targets | Renewals, now_s: float) -> float:
+        """Return an upper bound of a batch's transmission delay, in seconds."""
         if batch.echo_incarnation_ns == self._incarnation_ns:
             return now_s - batch.echo_s
-        # Without an echo nothing is known of the age, and no lease is left.
+        # Without an echo the delay is unbounded, and every lease has expired.
         return float('inf')
 
     def _find(self, target_ids: Iterable[str]) -> Iterator[Member]:
@@ -182,18 +186,20 @@
             if member is not None:
                 yield member
 
-    def _addressed(
+    def _build_targets(
         self,
         name: str,
         records: tuple[TargetRecord, ...],
     ) -> Targets:
         contact = self._contacts.peer(name)
-        return Targets(records, contact.their_sent_s, contact.incarnation_ns)
+        return Targets(records, contact.peer_sent_s, contact.incarnation_ns)
 
-    def _batched(self, name: str, renewals: tuple[Renewal, ...]) -> Renewals:
+    def _build_renewals(
+        self, name: str, renewals: tuple[Renewal, ...]
+    ) -> Renewals:
         contact = self._contacts.peer(name)
         return Renewals(
             renewals,
-            contact.their_sent_s,
+            contact.peer_sent_s,
             contact.incarnation_ns,
         )
--- a/src/wigeonreach/entry/_keys.py
+++ b/src/wigeonreach/entry/_keys.py
@@ -1,4 +1,4 @@
-"""Write and read the keys that make a request safe to send again."""
+"""Encode and decode the idempotency keys that make retries safe."""
 
 from __future__ import annotations
 
@@ -23,20 +23,20 @@
 
 
 class Key(msgspec.Struct, frozen=True, array_like=True):
-    """What a key says.
+    """Content of an idempotency key.
 
     Attributes
     ----------
     zone, owner
-        The entry that issued it; no other may have the request run.
+        The entry that issued the key; only it may dispatch the request.
     incarnation
-        Random name of the start of that entry's process.
+        Random identifier of one run of that entry's process.
     number
-        Tells the keys of one incarnation from each other.
+        Sequence number of the key within the incarnation.
     expires_ms
-        End of its validity, in ms since the incarnation began.
+        Expiry time, in ms since the incarnation began.
     service
-        The service that it was issued for.
+        Name of the service that the key is valid for.
     """
 
     zone: str
@@ -48,43 +48,43 @@
 
 
 class KeyCodec:
-    """Seal the keys of one incarnation and read those of any.
+    """Signs the keys of one incarnation and decodes those of any.
 
-    A checksum lets every entry refuse a key that was altered on its way; a
-    code under a secret, which never leaves the process, lets the owner refuse
-    one that was invented.
+    A checksum lets every entry reject a corrupted key.  A message
+    authentication code, whose secret never leaves the process, lets the
+    owner reject a forged one.
     """
 
     def __init__(self) -> None:
-        """Begin a new incarnation."""
+        """Start a new incarnation with a random identifier and secret."""
         self.incarnation = secrets.token_hex(_INCARNATION_BYTES)
         self._secret = secrets.token_bytes(_SECRET_BYTES)
 
     def seal(self, key: Key) -> str:
-        """Return the text of a key that this incarnation issues."""
+        """Return the signed and encoded text of a key."""
         plain = msgspec.msgpack.encode(key)
         sealed = plain + self._mac(plain)
-        return _pack(sealed + xxhash.xxh32_digest(sealed))
+        return _encode(sealed + xxhash.xxh32_digest(sealed))
 
     def read(self, text: str) -> Key:
-        """Return what a key says.
+        """Decode and verify the text of a key.
 
         Parameters
         ----------
         text
-            What the caller sent.
+            Text that the caller sent.
 
         Returns
         -------
         Key
-            The key; if it names this incarnation, this incarnation issued it.
+            The key.  Only a key of this incarnation has its signature verified.
 
         Raises
         ------
         RequestRefusedError
-            If no entry issued this text; nothing can have run under it.
+            If no entry issued this text, so that no request ran under it.
         """
-        plain, mac = _unpack(text)
+        plain, mac = _decode(text)
         try:
             key = _DECODER.decode(plain)
         except msgspec.DecodeError:
@@ -103,11 +103,11 @@
         ).digest()
 
 
-def _pack(checked: bytes) -> str:
+def _encode(checked: bytes) -> str:
     return base64.urlsafe_b64encode(checked).decode().rstrip('=')
 
 
-def _unpack(text: str) -> tuple[bytes, bytes]:
+def _decode(text: str) -> tuple[bytes, bytes]:
     if len(text) > MAX_KEY_CHARACTERS:
         raise _invalid()
     padding = '=' * (-len(text) % 4)
@@ -116,8 +116,8 @@
     except (binascii.Error, ValueError):
         raise _invalid() from None
     sealed = checked[:-_CHECKSUM_BYTES]
-    # Two texts can stand for the same bytes; only one of them was issued.
-    if _pack(sealed + xxhash.xxh32_digest(sealed)) != text:
+    # Several base64 texts decode to the same bytes; only one was issued.
+    if _encode(sealed + xxhash.xxh32_digest(sealed)) != text:
         raise _invalid()
     return sealed[:-_MAC_BYTES], sealed[-_MAC_BYTES:]
 
--- a/src/wigeonreach/entry/_keys_forward.py
+++ b/src/wigeonreach/entry/_keys_forward.py
@@ -1,4 +1,4 @@
-"""Bring each request with a key to the one entry that may run it."""
+"""Forward each request with a key to the entry that issued the key."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from wigeonreach.entry._keys import Key
 from wigeonreach.entry._keys_owner import KeyOwner
 from wigeonreach.entry._keys_routing import (
-    RESTARTED,
+    OWNER_RESTARTED,
     Forward,
     Here,
     Place,
@@ -34,8 +34,9 @@
 )
 from wigeonreach.wire._peer_messages import PeerHello
 
-# The owner gives up this much earlier, so that its reply is not too late.
-_REPLY_RATIO: Final = 0.95
+# The owner gets this part of the remaining time, so that its reply arrives
+# before the deadline.
+_OWNER_TIME_RATIO: Final = 0.95
 _UNREACHABLE: Final = KeyResult(
     Outcome.UNKNOWN,
     ResultCode.REQUEST_KEY_OWNER_UNREACHABLE,
@@ -52,27 +53,27 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Pending:
-    """A request that an owner was asked to answer."""
+    """A forwarded request that awaits the reply of its owner."""
 
     owner: str
     reply: asyncio.Future[KeyResult]
 
 
 class KeyedRequests:
-    """Answers requests with keys: here if this entry issued the key.
+    """Answers requests with keys, forwarding those of other entries' keys.
 
     Parameters
     ----------
     name
         Name of this entry.
     owner
-        Runs requests under the keys of this entry.
+        Runs requests with keys of this entry.
     peers
         Channels to the other entries.
     config
-        The text in force.
+        Source of the active configuration.
     lifecycle
-        Whether new work is taken.
+        Tells whether new requests are accepted.
     metrics
         Counters.
     """
@@ -86,7 +87,7 @@
         lifecycle: Lifecycle,
         metrics: Metrics,
     ) -> None:
-        """Register for the messages that other entries send."""
+        """Register the handlers of forwarded requests and of replies."""
         self._name = name
         self._owner = owner
         self._peers = peers
@@ -95,15 +96,15 @@
         self._metrics = metrics
         self._calls = itertools.count(1)
         self._pending: dict[str, _Pending] = {}
-        self._handling: set[asyncio.Task[None]] = set()
+        self._tasks: set[asyncio.Task[None]] = set()
         peers.handle(ForwardRequest, self._on_request)
         peers.handle(ForwardReply, self._on_reply)
         peers.on_peer_restart(self._on_restart)
 
     @property
     def in_flight(self) -> int:
-        """How many requests of other entries are being answered."""
-        return len(self._handling)
+        """Number of requests forwarded by other entries and not yet answered."""
+        return len(self._tasks)
 
     async def answer(self, request: CallerRequest) -> KeyResult:
         """Answer a request with a key.
@@ -111,29 +112,29 @@
         Parameters
         ----------
         request
-            What a caller sent to this entry.
+            The request that this entry received.
 
         Returns
         -------
         KeyResult
-            How the request ended.  An outcome other than "unknown" is the
-            owner's, so that it holds for all copies of the request.
+            How the request ended.  Only the owner returns an outcome other
+            than "unknown", so it holds for all copies of the request.
         """
         try:
-            return await self._decide(request)
+            return await self._route(request)
         except RequestRefusedError as refused:
             # This request can never run under this key.
             return KeyResult(Outcome.NOT_RUN, refused.code, refused.detail)
 
-    async def _decide(self, request: CallerRequest) -> KeyResult:
+    async def _route(self, request: CallerRequest) -> KeyResult:
         key, place = self._place_of(request)
         match place:
             case Here():
                 return await self._owner.answer(request, key)
             case Forward(owner):
                 return await self._forward(request, owner)
-            case ended:
-                return ended
+            case result:
+                return result
 
     def _place_of(self, request: CallerRequest) -> tuple[Key, Place]:
         key = self._owner.codec.read(request.key)
@@ -148,12 +149,12 @@
     async def _forward(self, request: CallerRequest, owner: str) -> KeyResult:
         self._metrics.count('keys', 'forwarded')
         call_id = f'{self._owner.codec.incarnation}-{next(self._calls)}'
-        left_s = request.due_s - time.monotonic()
-        message = _message_of(request, call_id, left_s * _REPLY_RATIO)
+        remaining_s = request.due_s - time.monotonic()
+        message = _to_message(request, call_id, remaining_s * _OWNER_TIME_RATIO)
         reply: asyncio.Future[KeyResult] = asyncio.Future()
         self._pending[call_id] = _Pending(owner, reply)
         try:
-            async with asyncio.timeout(left_s):
+            async with asyncio.timeout(remaining_s):
                 if not self._peers.post(owner, message):
                     return _UNREACHABLE
                 return await reply
@@ -165,20 +166,20 @@
     def _on_reply(self, _hello: PeerHello, message: ForwardReply) -> None:
         pending = self._pending.get(message.call_id)
         if pending is None or pending.reply.done():
-            # Nobody waits for it any more.
+            # The request has timed out.
             self._metrics.count('keys', 'late_reply')
             return
-        pending.reply.set_result(_result_of(message))
+        pending.reply.set_result(_from_reply(message))
 
     def _on_restart(self, peer: str) -> None:
         for pending in self._pending.values():
             if pending.owner == peer and not pending.reply.done():
-                pending.reply.set_result(RESTARTED)
+                pending.reply.set_result(OWNER_RESTARTED)
 
     def _on_request(self, hello: PeerHello, message: ForwardRequest) -> None:
-        handling = asyncio.create_task(self._handle(hello.process, message))
-        self._handling.add(handling)
-        handling.add_done_callback(self._handling.discard)
+        task = asyncio.create_task(self._handle(hello.process, message))
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
 
     async def _handle(self, peer: str, message: ForwardRequest) -> None:
         text = self._config.text
@@ -187,24 +188,26 @@
         if service is None:
             result = _UNKNOWN_SERVICE
         elif self._lifecycle.takes_work:
-            result = await self._answer_here(_request_of(message, service))
-        self._peers.post(peer, _reply_of(message.call_id, result))
+            result = await self._answer_forwarded(
+                _from_message(message, service)
+            )
+        self._peers.post(peer, _to_reply(message.call_id, result))
 
-    async def _answer_here(self, request: CallerRequest) -> KeyResult:
+    async def _answer_forwarded(self, request: CallerRequest) -> KeyResult:
         try:
             key, place = self._place_of(request)
-            # What was forwarded once is not passed on again.
+            # A forwarded request is not forwarded again.
             if isinstance(place, Here):
                 return await self._owner.answer(request, key)
         except RequestRefusedError as refused:
             return KeyResult(Outcome.NOT_RUN, refused.code, refused.detail)
-        return RESTARTED
+        return OWNER_RESTARTED
 
 
-def _message_of(
+def _to_message(
     request: CallerRequest,
     call_id: str,
-    left_s: float,
+    remaining_s: float,
 ) -> ForwardRequest:
     return ForwardRequest(
         call_id=call_id,
@@ -213,7 +216,7 @@
         method=request.method,
         path=request.path,
         headers=tuple(
-            # The HTTP library's own type of names can't be encoded.
+            # msgspec can't encode the HTTP library's type of header names.
             HeaderField(str(name), text)
             for name, text in request.headers.items()
         ),
@@ -221,11 +224,11 @@
         team=request.team,
         weight=request.weight,
         is_urgent=request.is_urgent,
-        left_s=left_s,
+        left_s=remaining_s,
     )
 
 
-def _request_of(message: ForwardRequest, service: Service) -> CallerRequest:
+def _from_message(message: ForwardRequest, service: Service) -> CallerRequest:
     return CallerRequest(
         service=service,
         method=message.method,
@@ -240,7 +243,7 @@
     )
 
 
-def _reply_of(call_id: str, result: KeyResult) -> ForwardReply:
+def _to_reply(call_id: str, result: KeyResult) -> ForwardReply:
     answer = result.answer or TargetAnswer(0, None, b'')
     return ForwardReply(
         call_id,
@@ -254,7 +257,7 @@
     )
 
 
-def _result_of(message: ForwardReply) -> KeyResult:
+def _from_reply(message: ForwardReply) -> KeyResult:
     answer = None
     if message.status:
         answer = TargetAnswer(
--- a/src/wigeonreach/entry/_keys_owner.py
+++ b/src/wigeonreach/entry/_keys_owner.py
@@ -1,4 +1,4 @@
-"""Run requests under the keys that this entry issued, once each."""
+"""Issue keys and run the request of each key at most once."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
 
 
 class KeyOwner:
-    """Issues keys and owns what runs under them.
+    """Issues the keys of this entry and runs the requests that use them.
 
     Parameters
     ----------
     settings
-        Who this entry is and how long its keys are valid.
+        Name and zone of this entry, and limits of its keys.
     dispatcher
-        Has a request run.
+        Sends requests to targets.
     metrics
         Counters.
     """
@@ -46,7 +46,7 @@
         dispatcher: Dispatcher,
         metrics: Metrics,
     ) -> None:
-        """Begin a new incarnation, with no key issued."""
+        """Start a new incarnation that has issued no keys."""
         self.codec = KeyCodec()
         self._dispatcher = dispatcher
         self._metrics = metrics
@@ -69,31 +69,31 @@
         Raises
         ------
         RequestRefusedError
-            If as many keys are valid as can be remembered.
+            If the maximum number of keys is valid already.
         """
         key = self._table.issue(service, time.monotonic())
         self._metrics.count('keys', 'issued')
         return self.codec.seal(key)
 
     async def answer(self, request: CallerRequest, key: Key) -> KeyResult:
-        """Run a request or say what became of it.
+        """Run a request or return the result of an earlier copy.
 
         Parameters
         ----------
         request
             The request.
         key
-            Its key, which this incarnation issued.
+            Key of the request, issued by this incarnation.
 
         Returns
         -------
         KeyResult
-            How it ended, the same for each copy of the request.
+            How the request ended; the same for each of its copies.
 
         Raises
         ------
         RequestRefusedError
-            If the key was used with another request.
+            If the key was used with a different request.
         """
         decision = self._table.begin(
             key,
@@ -105,7 +105,7 @@
             return decision
         if decision is Step.RUN:
             self._metrics.count('keys', 'run')
-            # Nothing is awaited between the decision and this entry.
+            # No await may come between the decision and this assignment.
             self._running[key.number] = asyncio.create_task(
                 self._run(request, key.number),
             )
@@ -114,7 +114,7 @@
         return await self._wait(key.number, request.due_s)
 
     async def _wait(self, number: int, due_s: float) -> KeyResult:
-        # A caller that goes away does not end what runs under its key.
+        # A caller that disconnects must not cancel the request of its key.
         running = asyncio.shield(self._running[number])
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(due_s - time.monotonic()):
--- a/src/wigeonreach/entry/_keys_replies.py
+++ b/src/wigeonreach/entry/_keys_replies.py
@@ -1,4 +1,4 @@
-"""Build the answers about keys and to requests with keys."""
+"""Build the responses for issued keys and for requests with keys."""
 
 from __future__ import annotations
 
@@ -29,14 +29,14 @@
 )
 
 
-class IssuedBody(msgspec.Struct, frozen=True):
-    """JSON body of the answer to ``POST /v1/keys/SERVICE``."""
+class IssuedKeyBody(msgspec.Struct, frozen=True):
+    """JSON body of the response to ``POST /v1/keys/SERVICE``."""
 
     key: str
 
 
 def issued_reply(key: str) -> web.Response:
-    """Build the answer that hands a key out.
+    """Build the response that returns a new key.
 
     Parameters
     ----------
@@ -46,29 +46,29 @@
     Returns
     -------
     aiohttp.web.Response
-        The answer.
+        The response.
     """
     return web.Response(
         status=201,
-        body=msgspec.json.encode(IssuedBody(key)),
+        body=msgspec.json.encode(IssuedKeyBody(key)),
         content_type='application/json',
     )
 
 
 def key_reply(result: KeyResult, rng: random.Random) -> web.Response:
-    """Build the answer to a request with a key.
+    """Build the response to a request with a key.
 
     Parameters
     ----------
     result
         How the request ended.
     rng
-        Spreads ``Retry-After``.
+        Randomizes ``Retry-After``.
 
     Returns
     -------
     aiohttp.web.Response
-        The first answer, or what is known of the request.
+        The target's response, or an error that tells how the request ended.
     """
     if result.answer is not None:
         return target_reply(result.answer)
--- a/src/wigeonreach/entry/_keys_routing.py
+++ b/src/wigeonreach/entry/_keys_routing.py
@@ -1,4 +1,4 @@
-"""Decide which entry may have the request of a key run."""
+"""Decide which entry handles the request of a key."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from wigeonreach.entry._results import KeyResult
 from wigeonreach.exceptions import RequestRefusedError
 
-RESTARTED: Final = KeyResult(
+OWNER_RESTARTED: Final = KeyResult(
     Outcome.UNKNOWN,
     ResultCode.REQUEST_KEY_OWNER_RESTARTED,
 )
@@ -23,7 +23,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Forward:
-    """Another entry issued the key, and only it may decide."""
+    """Another entry issued the key and must handle its request."""
 
     owner: str
 
@@ -37,21 +37,21 @@
     entry: str,
     incarnation: str,
 ) -> Place:
-    """Return where the request of a key is to be decided.
+    """Return where the request of a key must be handled.
 
     Parameters
     ----------
     key
-        The key, as it was read.
+        The decoded key.
     service
-        The service that is asked for.
+        Name of the requested service.
     entry, incarnation
-        Who this process is.
+        Name and incarnation of this process.
 
     Returns
     -------
     Here, Forward or KeyResult
-        The place, or an end if no process is left that could decide.
+        The place, or the result if the owning process no longer exists.
 
     Raises
     ------
@@ -66,5 +66,5 @@
     if key.incarnation == incarnation:
         return Here()
     if key.owner == entry:
-        return RESTARTED
+        return OWNER_RESTARTED
     return Forward(key.owner)
--- a/src/wigeonreach/entry/_keys_table.py
+++ b/src/wigeonreach/entry/_keys_table.py
@@ -1,4 +1,4 @@
-"""Decide whether a request with a key may run, and never let it run twice."""
+"""Record the use of keys so that each runs at most one request."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KeyLimits:
-    """Bounds of a table.
+    """Limits of a key table.
 
     Attributes
     ----------
     lifetime_s
         How long a key is valid, in seconds.
     max_keys
-        How many valid keys there may be at once; each may take an entry.
+        Maximum number of valid keys, and so of records of used keys.
     max_answer_bytes
-        Bound on the answers kept.
+        Maximum size of all stored responses, in bytes.
     """
 
     lifetime_s: float
@@ -38,7 +38,7 @@
 
 
 class Step(enum.Enum):
-    """What to do with a request besides answering it."""
+    """How to proceed with a request that has no result yet."""
 
     RUN = enum.auto()
     WAIT = enum.auto()
@@ -48,8 +48,8 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Entry:
-    """One key that was used; ``result`` is None while its request runs."""
+class _KeyRecord:
+    """A used key; ``result`` is None while its request runs."""
 
     fingerprint: int
     expires_ms: int
@@ -59,15 +59,15 @@
 class KeyTable:
     """The keys of one incarnation of one entry.
 
-    It lives in memory only: an incarnation that ended can't have anything run
-    any more, and the next one never runs its keys.
+    The table is kept in memory only.  An ended incarnation dispatches nothing
+    more, and the next one never accepts its keys.
 
     Parameters
     ----------
     zone, owner, incarnation
-        Written into each key.
+        Fields of each issued key.
     limits
-        Bounds on what is remembered.
+        Limits on the keys and responses kept.
     started_s
         Monotonic time at which the incarnation began, in seconds.
     """
@@ -80,26 +80,26 @@
         limits: KeyLimits,
         started_s: float,
     ) -> None:
-        """Start with no key issued."""
+        """Start without any key."""
         self._zone = zone
         self._owner = owner
         self._incarnation = incarnation
         self._limits = limits
         self._started_s = started_s
-        # Keys are numbered, and expire, in the order in which they are issued.
+        # Keys are numbered in the order of issue, and expire in the same order.
         self._expiries_ms: collections.deque[int] = collections.deque()
         self._first_number = 0
-        self._entries: dict[int, _Entry] = {}
+        self._records: dict[int, _KeyRecord] = {}
         self._answers = AnswerStore(limits.max_answer_bytes)
 
     @property
     def remembered(self) -> int:
-        """How many used keys are remembered."""
-        return len(self._entries)
+        """Number of records of used keys."""
+        return len(self._records)
 
     @property
     def answer_bytes(self) -> int:
-        """How many bytes of answers are kept."""
+        """Size of all stored responses, in bytes."""
         return self._answers.kept_bytes
 
     def issue(self, service: str, now_s: float) -> Key:
@@ -108,7 +108,7 @@
         Parameters
         ----------
         service
-            The service that it shall be valid for.
+            Name of the service that the key is valid for.
         now_s
             Monotonic time, in seconds.
 
@@ -120,7 +120,7 @@
         Raises
         ------
         RequestRefusedError
-            If as many keys are valid as can be remembered.
+            If the maximum number of keys is valid already.
         """
         now_ms = self._now_ms(now_s)
         self._prune(now_ms)
@@ -142,7 +142,7 @@
         )
 
     def begin(self, key: Key, fingerprint: int, now_s: float) -> Decision:
-        """Decide what becomes of a request that came with a key.
+        """Decide how to proceed with a request that carries a key.
 
         Parameters
         ----------
@@ -156,53 +156,55 @@
         Returns
         -------
         Step or KeyResult
-            ``RUN`` at most once for each key; then ``WAIT`` until it ended;
-            then how it ended.
+            ``RUN`` at most once for each key, ``WAIT`` while that request
+            runs, and its result afterwards.
 
         Raises
         ------
         RequestRefusedError
-            If the key was used with another request.
+            If the key was used with a different request.
         """
         now_ms = self._now_ms(now_s)
         self._prune(now_ms)
-        entry = self._entries.get(key.number)
-        if entry is not None:
-            return self._repeat(key.number, entry, fingerprint)
+        record = self._records.get(key.number)
+        if record is not None:
+            return self._answer_repeated(key.number, record, fingerprint)
         if key.expires_ms <= now_ms:
-            # It may have run and been forgotten.
+            # A request may have run under it and its record been pruned.
             return EXPIRED
-        self._entries[key.number] = _Entry(fingerprint, key.expires_ms)
+        self._records[key.number] = _KeyRecord(fingerprint, key.expires_ms)
         return Step.RUN
 
     def finish(self, number: int, result: KeyResult, now_s: float) -> None:
-        """Remember how the request of a key ended.
+        """Record how the request of a key ended.
 
         Parameters
         ----------
         number
-            Number of a key that was told to run.
+            Number of a key for which ``begin`` returned ``RUN``.
         result
-            How it ended; ``NOT_RUN`` is final too, since a copy of the same
-            request may still be on its way and must then not run.
+            How the request ended.  ``NOT_RUN`` is final too: the caller may
+            rely on it, so a copy that arrives later must not run.
         now_s
             Monotonic time, in seconds.
         """
-        entry = self._entries[number]
-        if entry.expires_ms <= self._now_ms(now_s):
-            self._entries.pop(number)
+        record = self._records[number]
+        if record.expires_ms <= self._now_ms(now_s):
+            self._records.pop(number)
             return
-        entry.result = dataclasses.replace(result, answer=None)
+        record.result = dataclasses.replace(result, answer=None)
         if result.answer is not None:
             self._answers.put(number, result.answer)
 
-    def _repeat(self, number: int, entry: _Entry, fingerprint: int) -> Decision:
-        if entry.fingerprint != fingerprint:
+    def _answer_repeated(
+        self, number: int, record: _KeyRecord, fingerprint: int
+    ) -> Decision:
+        if record.fingerprint != fingerprint:
             raise RequestRefusedError(
                 ResultCode.REQUEST_KEY_MISMATCH,
                 'the key was used with another request',
             )
-        result = entry.result
+        result = record.result
         if result is None:
             return Step.WAIT
         if result.code is not ResultCode.OK:
@@ -220,10 +222,10 @@
             self._first_number += 1
 
     def _forget(self, number: int) -> None:
-        entry = self._entries.get(number)
-        # What still runs is forgotten once it ended.
-        if entry is not None and entry.result is not None:
-            self._entries.pop(number)
+        record = self._records.get(number)
+        # The record of a running request is removed when it ends.
+        if record is not None and record.result is not None:
+            self._records.pop(number)
             self._answers.drop(number)
 
     def _now_ms(self, now_s: float) -> int:
--- a/src/wigeonreach/entry/_listener.py
+++ b/src/wigeonreach/entry/_listener.py
@@ -1,4 +1,4 @@
-"""Accept callers' connections, and end that without a reset."""
+"""Accept HTTP connections and stop accepting without resetting any."""
 
 from __future__ import annotations
 
@@ -21,20 +21,20 @@
     Parameters
     ----------
     runner
-        The server, which must be set up.
+        The HTTP server; its ``setup`` must have completed.
     address
-        Where to listen.
+        Address to listen on.
     """
 
     def __init__(self, runner: web.BaseRunner, address: Address) -> None:
-        """Prepare; nothing listens yet."""
+        """Create the listener without opening its socket."""
         self._runner = runner
         self._address = address
         self._socket: socket.socket | None = None
         self._site: web.SockSite | None = None
 
     async def open(self) -> None:
-        """Begin to accept connections.
+        """Start accepting connections.
 
         Raises
         ------
@@ -57,31 +57,31 @@
         await self._site.start()
 
     async def close(self) -> None:
-        """Accept no connection any more, but each that was already made.
+        """Stop listening, but serve the connections in the accept queue.
 
-        The kernel has connections in its queue that the event loop did not
-        come to yet; closing the socket would reset them.
+        The kernel's queue may hold connections that the event loop has not
+        accepted yet; closing the socket would reset them.
         """
         server = self._runner.server
         if self._socket is None or self._site is None or server is None:
             return
-        last = self._socket.dup()
-        last.setblocking(False)
+        duplicate = self._socket.dup()
+        duplicate.setblocking(False)
         await self._site.stop()
-        waiting = list(_accept_all(last))
-        last.close()
+        queued = list(_accept_all(duplicate))
+        duplicate.close()
         loop = asyncio.get_running_loop()
-        for connection in waiting:
+        for connection in queued:
             connection.setblocking(False)
             with contextlib.suppress(OSError):
                 await loop.connect_accepted_socket(server, connection)
 
 
 def end_idle_connections(runner: web.BaseRunner) -> None:
-    """Tell each caller that its kept-alive connection ends.
+    """Half-close every keep-alive connection.
 
-    Only the sending half is closed, so that a request which crosses the end
-    on its way is read and dropped instead of being answered by a reset.
+    Only the sending half is closed, so that a request already in transit is
+    read and dropped rather than answered with a TCP reset.
     """
     if runner.server is None:
         return
@@ -92,7 +92,7 @@
 
 
 def _accept_all(listening: socket.socket) -> Iterator[socket.socket]:
-    # The queue holds no more than this.
+    # The kernel's queue holds at most this many connections.
     for _ in range(_BACKLOG + 1):
         try:
             connection, _address = listening.accept()
--- a/src/wigeonreach/entry/_member.py
+++ b/src/wigeonreach/entry/_member.py
@@ -1,4 +1,4 @@
-"""Hold what an entry knows of one target."""
+"""Hold the state that an entry keeps of one target."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Merge(enum.Enum):
-    """What a record changed."""
+    """Effect of merging a record."""
 
     NOTHING = enum.auto()
     STALE = enum.auto()
@@ -23,39 +23,40 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Member:
-    """One target, as this entry knows it.
+    """State of one target as known to this entry.
 
-    All times are monotonic seconds of this process.  ``renewed_s`` is when
-    the lease began last: the target announced itself, or answered.
-    ``seen_s`` is the newest time at which it is known to have been serving,
-    because an answer to something sent then said so.
+    All times are monotonic seconds of this process.  ``renewed_s`` is the
+    last start of the lease, by an announcement or a response of the target.
+    ``last_serving_s`` is the latest time at which the target is known to
+    have been serving: the time when this entry sent a request or probe whose
+    response said so.
     """
 
     record: TargetRecord
     renewed_s: float
-    touched_s: float
-    seen_s: float = float('-inf')
+    updated_s: float
+    last_serving_s: float = float('-inf')
     is_superseded: bool = False
     has_expired: bool = False
 
     @property
     def expires_s(self) -> float:
-        """When the lease ends."""
+        """Time at which the lease ends."""
         return self.renewed_s + self.record.lease_s
 
     @property
-    def vouched_s(self) -> float:
-        """When the target last vouched for itself.
+    def confirmed_s(self) -> float:
+        """Time at which the target last confirmed its own state.
 
-        An announcement may have been held up under way for any time, so that
-        it counts only where the target tells its state in no better way.
+        An announcement may have been delayed for any time, so it counts only
+        for targets that can't be probed.
         """
         if self.record.state_path:
-            return self.seen_s
-        return max(self.seen_s, self.renewed_s)
+            return self.last_serving_s
+        return max(self.last_serving_s, self.renewed_s)
 
     def is_serving(self, now_s: float) -> bool:
-        """Whether the target serves, as far as its record goes."""
+        """Whether the target serves according to its record."""
         return (
             self.record.state is TargetState.SERVING
             and now_s < self.expires_s
@@ -63,21 +64,23 @@
         )
 
 
-def aged(member: Member, now_s: float) -> TargetRecord:
-    """Return a member's record with the age that it has now."""
+def with_current_age(member: Member, now_s: float) -> TargetRecord:
+    """Return a member's record with its current age."""
     return msgspec.structs.replace(
         member.record,
         age_s=max(0.0, now_s - member.renewed_s),
     )
 
 
-def renew(known: Member, record: TargetRecord, now_s: float) -> Merge:
-    """Take another record of the same incarnation.
+def merge_same_incarnation(
+    member: Member, record: TargetRecord, now_s: float
+) -> Merge:
+    """Merge another record of the same incarnation into a member.
 
     Parameters
     ----------
-    known
-        What is known.
+    member
+        The known target, which is updated.
     record
         The other record.
     now_s
@@ -86,22 +89,23 @@
     Returns
     -------
     Merge
-        What the record changed.
+        Effect of the record.
     """
-    # A target that is leaving comes back only as a new incarnation, so that
-    # announcements that crossed each other can't bring it back.
-    if known.record.state is TargetState.LEAVING:
+    # A leaving target returns only as a new incarnation, so that reordered
+    # announcements can't bring it back.
+    if member.record.state is TargetState.LEAVING:
         return Merge.NOTHING
     is_leaving = record.state is TargetState.LEAVING
-    if record.sequence < known.record.sequence and not is_leaving:
+    if record.sequence < member.record.sequence and not is_leaving:
         return Merge.NOTHING
-    # Two ways of one announcement, or an answer seen since: each time is at
-    # or before the true one, so that the latest of them holds.
-    known.renewed_s = max(known.renewed_s, now_s - record.age_s)
-    known.touched_s = now_s
-    known.has_expired = False
-    old = known.record
-    known.record = record
+    # The same announcement may arrive by two paths, or a response may have
+    # arrived since.  Each time is a lower bound of the true one, so the latest
+    # is the best.
+    member.renewed_s = max(member.renewed_s, now_s - record.age_s)
+    member.updated_s = now_s
+    member.has_expired = False
+    old = member.record
+    member.record = record
     if is_leaving:
         return Merge.LEFT
     if record.sequence == old.sequence:
--- a/src/wigeonreach/entry/_membership.py
+++ b/src/wigeonreach/entry/_membership.py
@@ -1,4 +1,4 @@
-"""Decide which targets may be given new work."""
+"""Track the targets and decide which ones accept new requests."""
 
 from __future__ import annotations
 
@@ -6,7 +6,12 @@
 
 import msgspec
 
-from wigeonreach.entry._member import Member, Merge, aged, renew
+from wigeonreach.entry._member import (
+    Member,
+    Merge,
+    merge_same_incarnation,
+    with_current_age,
+)
 from wigeonreach.entry._target_state import TargetAnswered
 from wigeonreach.wire._target_messages import (
     Renewal,
@@ -16,9 +21,9 @@
 
 __all__ = ('Member', 'Membership', 'Merge')
 
-#: How long it stays true that a target serves, in seconds, when nobody could
-#: have told this entry otherwise.
-TRUST_S = 1.2
+#: How long a confirmation by the target itself stays valid, in seconds, while
+#: this entry is out of contact with a peer that may know of a leave.
+CONFIRMATION_VALID_S = 1.2
 #: How long a record is kept after its lease, in seconds, so that a late
 #: announcement can't bring back a target that left.
 TOMBSTONE_S = 300.0
@@ -27,14 +32,15 @@
 
 
 class Membership:
-    """The newest record of each target, under a lease.
+    """The latest record of each target, valid for the target's lease.
 
     Parameters
     ----------
     zone
-        Zone of this entry; None takes targets of every zone for its own.
+        Zone of this entry; None treats the targets of all zones as its own.
     contact_until_s
-        Until when this entry is in contact with each peer of its zone.
+        Monotonic time, in seconds, until which this entry is in contact with
+        all peers of its zone.
     """
 
     def __init__(
@@ -42,35 +48,35 @@
         zone: str | None = None,
         contact_until_s: float = _ALWAYS_S,
     ) -> None:
-        """Start with no target known."""
+        """Start without any target."""
         self._zone = zone
         self._contact_until_s = contact_until_s
-        self._distrusted_s = _NEVER_S
+        self._confirmed_after_s = _NEVER_S
         self._members: dict[str, Member] = {}
         self._by_address: dict[str, Member] = {}
         self._by_service: dict[str, list[Member]] = {}
-        self._asked_s: dict[str, float] = {}
-        self._unvouched: set[Member] = set()
+        self._last_lookup_s: dict[str, float] = {}
+        self._unconfirmed: set[Member] = set()
 
     @property
     def near_count(self) -> int:
-        """How many targets of the zone are known, also of those gone."""
-        return sum(map(self._is_near, self._members.values()))
+        """Number of known targets of the zone, expired ones included."""
+        return sum(map(self._is_in_zone, self._members.values()))
 
     def merge(self, record: TargetRecord, now_s: float) -> Merge:
-        """Take one record, from the target itself or from a peer.
+        """Merge a record received from its target or from a peer.
 
         Parameters
         ----------
         record
-            The record; an older one than is known changes nothing.
+            The record; one older than the known record is ignored.
         now_s
             Monotonic time of this process, in seconds.
 
         Returns
         -------
         Merge
-            What the record changed.
+            Effect of the record.
         """
         if self._is_address_taken(record):
             return Merge.STALE
@@ -78,24 +84,24 @@
         if known is None:
             return self._insert(record, now_s)
         if record.incarnation_ns > known.record.incarnation_ns:
-            self._forget(known)
+            self._remove(known)
             return self._insert(record, now_s)
         if record.incarnation_ns < known.record.incarnation_ns:
             return Merge.STALE
-        return renew(known, record, now_s)
+        return merge_same_incarnation(known, record, now_s)
 
     def see(self, answered: TargetAnswered) -> TargetRecord | None:
-        """Note what a target said of itself in an answer to this entry.
+        """Handle the state that a target reported in a response.
 
         Parameters
         ----------
         answered
-            What it said.
+            The reported state, and when the request for it was sent.
 
         Returns
         -------
         TargetRecord or None
-            The record to pass on if the target leaves and this is news.
+            The record to relay if the target is newly known to be leaving.
         """
         member = self._by_address.get(answered.address)
         if member is None or not member.is_serving(answered.sent_s):
@@ -103,7 +109,7 @@
         if member.record.incarnation_ns != answered.incarnation_ns:
             return None
         if answered.state is TargetState.SERVING:
-            member.seen_s = max(member.seen_s, answered.sent_s)
+            member.last_serving_s = max(member.last_serving_s, answered.sent_s)
             member.renewed_s = max(member.renewed_s, answered.sent_s)
             return None
         member.record = msgspec.structs.replace(
@@ -112,8 +118,8 @@
         )
         return member.record
 
-    def renew(self, renewal: Renewal, now_s: float) -> Merge:
-        """Take an announcement that changed nothing but its number."""
+    def merge_renewal(self, renewal: Renewal, now_s: float) -> Merge:
+        """Merge an announcement that changes only its sequence number."""
         member = self._members.get(renewal.target_id)
         if member is None:
             return Merge.NOTHING
@@ -125,98 +131,108 @@
             sequence=renewal.sequence,
             age_s=renewal.age_s,
         )
-        return renew(member, renewed, now_s)
+        return merge_same_incarnation(member, renewed, now_s)
 
     def find(self, target_id: str) -> Member | None:
-        """Return what is known of a target."""
+        """Return the state of a target, or None if it is unknown."""
         return self._members.get(target_id)
 
-    def extend_contact(self, until_s: float) -> None:
-        """Set until when every peer of the zone is in contact."""
+    def set_contact_until(self, until_s: float) -> None:
+        """Set until when all peers of the zone are in contact."""
         self._contact_until_s = until_s
 
-    def distrust(self, now_s: float) -> None:
-        """Trust no record until its target was seen after ``now_s``.
+    def require_confirmation(self, now_s: float) -> None:
+        """Require that each target confirms its state after ``now_s``.
 
-        A peer that was restarted may have forgotten that a target left, and
-        so may this entry itself.
+        Called after a restart of a peer or of this entry: the restarted
+        process may have lost the information that a target left.
         """
-        self._distrusted_s = now_s
-        self._unvouched.update(self._members.values())
+        self._confirmed_after_s = now_s
+        self._unconfirmed.update(self._members.values())
 
     def serving(self, service: str, now_s: float) -> list[Member]:
-        """Return the zone's targets that may be given new work."""
-        self._asked_s[service] = now_s
+        """Return the zone's targets of a service that accept new requests."""
+        self._last_lookup_s[service] = now_s
         in_contact = now_s < self._contact_until_s
         return [
             member
             for member in self._by_service.get(service, ())
-            if self._is_near(member)
+            if self._is_in_zone(member)
             and member.is_serving(now_s)
             and self._is_trusted(member, now_s, in_contact=in_contact)
         ]
 
     def trusted_until_s(self, member: Member) -> float:
-        """Return until when a record is trusted without being seen again."""
-        alone_s = member.vouched_s + TRUST_S
-        is_covered = self._is_near(member) and self._is_since_distrust(member)
-        return max(alone_s, self._contact_until_s) if is_covered else alone_s
+        """Return until when a record is trusted without a new confirmation."""
+        confirmed_until_s = member.confirmed_s + CONFIRMATION_VALID_S
+        is_covered = self._is_in_zone(member) and self._is_confirmed(member)
+        return (
+            max(confirmed_until_s, self._contact_until_s)
+            if is_covered
+            else confirmed_until_s
+        )
 
     def lapsing(self, ahead_s: float, now_s: float) -> list[Member]:
-        """Return the zone's targets to look at, the most wanted first.
+        """Return the zone's targets to probe, recently requested ones first.
 
         Parameters
         ----------
         ahead_s
-            Those whose record is trusted for less than this, in seconds.
+            Selects targets whose record is trusted for less than this, in
+            seconds.
         now_s
             Monotonic time of this process, in seconds.
         """
         if now_s + ahead_s < self._contact_until_s:
-            # The rest is vouched for by contact; this is asked all the time.
-            self._forget_vouched()
-            members = list(self._unvouched)
+            # Contact covers all confirmed targets.  This method is called
+            # often, so only the unconfirmed ones are scanned.
+            self._drop_confirmed()
+            members = list(self._unconfirmed)
         else:
             members = list(self._members.values())
         found = [
             member
             for member in members
-            if self._is_near(member)
+            if self._is_in_zone(member)
             and member.is_serving(now_s)
             and self.trusted_until_s(member) < now_s + ahead_s
         ]
-        found.sort(key=self._asked_when, reverse=True)
+        found.sort(key=self._last_lookup_of, reverse=True)
         return found
 
     def records(self, now_s: float) -> tuple[TargetRecord, ...]:
-        """Return all records of the zone with their age, also of those gone."""
+        """Return all records of the zone with their current ages."""
         return tuple(
-            aged(member, now_s)
+            with_current_age(member, now_s)
             for member in self._members.values()
-            if self._is_near(member)
+            if self._is_in_zone(member)
         )
 
     def known(self) -> Iterator[tuple[str, int]]:
-        """Yield name and incarnation of each target, also of those gone."""
+        """Yield identifier and incarnation of each target, also expired ones."""
         for target_id, member in self._members.items():
             yield target_id, member.record.incarnation_ns
 
     def expire(self, now_s: float) -> list[TargetRecord]:
-        """Return targets whose lease ended; forget those gone for long."""
+        """Return targets whose lease ended; remove those past retention."""
         ended = [
             member
             for member in self._members.values()
             if member.expires_s <= now_s
         ]
-        fresh = [member.record for member in ended if not member.has_expired]
-        for one in ended:
-            one.has_expired = True
-            kept_until_s = one.touched_s + one.record.lease_s + TOMBSTONE_S
+        newly_expired = [
+            member.record for member in ended if not member.has_expired
+        ]
+        for member in ended:
+            member.has_expired = True
+            kept_until_s = (
+                member.updated_s + member.record.lease_s + TOMBSTONE_S
+            )
             if kept_until_s <= now_s:
-                self._forget(one)
-        return fresh
+                self._remove(member)
+        return newly_expired
 
-    def _is_near(self, member: Member) -> bool:
+    def _is_in_zone(self, member: Member) -> bool:
         return self._zone is None or member.record.zone == self._zone
 
     def _is_trusted(
@@ -226,17 +242,17 @@
         *,
         in_contact: bool,
     ) -> bool:
-        vouched_s = member.vouched_s
-        if in_contact and vouched_s >= self._distrusted_s:
+        confirmed_s = member.confirmed_s
+        if in_contact and confirmed_s >= self._confirmed_after_s:
             return True
-        return now_s < vouched_s + TRUST_S
+        return now_s < confirmed_s + CONFIRMATION_VALID_S
 
-    def _forget_vouched(self) -> None:
-        vouched = filter(self._is_since_distrust, self._unvouched)
-        self._unvouched.difference_update(list(vouched))
+    def _drop_confirmed(self) -> None:
+        confirmed = filter(self._is_confirmed, self._unconfirmed)
+        self._unconfirmed.difference_update(list(confirmed))
 
-    def _asked_when(self, member: Member) -> float:
-        return self._asked_s.get(member.record.service, _NEVER_S)
+    def _last_lookup_of(self, member: Member) -> float:
+        return self._last_lookup_s.get(member.record.service, _NEVER_S)
 
     def _is_address_taken(self, record: TargetRecord) -> bool:
         owner = self._by_address.get(record.address)
@@ -248,23 +264,23 @@
         member = Member(record, now_s - record.age_s, now_s)
         self._members[record.target_id] = member
         self._by_service.setdefault(record.service, []).append(member)
-        self._unvouched.add(member)
-        self._take_address(member)
+        self._unconfirmed.add(member)
+        self._claim_address(member)
         return Merge.JOINED
 
-    def _is_since_distrust(self, member: Member) -> bool:
-        return member.vouched_s >= self._distrusted_s
+    def _is_confirmed(self, member: Member) -> bool:
+        return member.confirmed_s >= self._confirmed_after_s
 
-    def _take_address(self, member: Member) -> None:
+    def _claim_address(self, member: Member) -> None:
         owner = self._by_address.get(member.record.address)
         if owner is not None and owner is not member:
             owner.is_superseded = True
         self._by_address[member.record.address] = member
 
-    def _forget(self, member: Member) -> None:
+    def _remove(self, member: Member) -> None:
         record = member.record
         self._members.pop(record.target_id)
-        self._unvouched.discard(member)
+        self._unconfirmed.discard(member)
         self._by_service[record.service].remove(member)
         if self._by_address.get(record.address) is member:
             self._by_address.pop(record.address)
--- a/src/wigeonreach/entry/_peers.py
+++ b/src/wigeonreach/entry/_peers.py
@@ -1,4 +1,4 @@
-"""Carry typed messages and heartbeats between this entry and its peers."""
+"""Exchange typed messages and heartbeats with the other entries."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 import mode
 
-from wigeonreach.entry._contact import Contacts
+from wigeonreach.entry._contact import PeerContacts
 from wigeonreach.entry._settings import EntrySettings
 from wigeonreach.exceptions import WireError
 from wigeonreach.observe import LogEvent, Logger
@@ -19,22 +19,22 @@
 from wigeonreach.wire._peer_messages import Goodbye, Heartbeat, PeerHello
 
 _RETRY_S = 0.2
-#: Time between heartbeats to a peer of the own zone, in seconds.
+#: Interval of heartbeats to a peer of the same zone, in seconds.
 ZONE_HEARTBEAT_S = 0.25
-#: Time between heartbeats to a peer of another zone, in seconds.
+#: Interval of heartbeats to a peer of another zone, in seconds.
 FAR_HEARTBEAT_S = 2.0
-# A channel on which nothing arrived for this many heartbeats is opened anew:
-# TCP alone would wait for minutes, and what is posted would pile up.
-_SILENT_BEATS = 12
+# A channel without an echo for this many heartbeat intervals is reopened.  TCP
+# alone would take minutes to time out, while posted messages accumulate.
+_MAX_SILENT_HEARTBEATS = 12
 
-_Sent = TypeVar('_Sent', bound=WireMessage)
-Handler = Callable[[PeerHello, _Sent], None]
-Sync = Callable[[str], Iterable[WireMessage]]
+_MessageT = TypeVar('_MessageT', bound=WireMessage)
+Handler = Callable[[PeerHello, _MessageT], None]
+InitialMessages = Callable[[str], Iterable[WireMessage]]
 
 
 @dataclasses.dataclass(slots=True)
 class PeerLink:
-    """The channel that this entry opened to one peer."""
+    """A channel that this entry opened to a peer."""
 
     peer: Member
     channel: Channel
@@ -43,103 +43,104 @@
 
 
 class PeerExchange(mode.Service):
-    """Own the channels to all other entries.
+    """Manages the channels to all other entries.
 
-    Each entry opens one channel to each other and sends on it; it receives
-    on those that the others opened.  Handlers run to their end before the
-    next message of the channel is read, and must not wait.
+    Each entry opens one channel to each other entry to send on, and receives
+    on the channels that the others opened.  Handlers run to completion before
+    the next message of the channel is read, and must not block.
 
     Parameters
     ----------
     settings
-        Who this entry is and who its peers are.
+        Name, zone and peers of this entry.
     logger
-        Where events are logged.
+        Log for connected and lost peers.
     """
 
     def __init__(self, settings: EntrySettings, logger: Logger) -> None:
-        """Start with no peer connected."""
+        """Start without any connected peer."""
         super().__init__()
         self._settings = settings
         self._log = logger
         self.incarnation_ns = time.time_ns()
         self.zone_names = tuple(peer.name for peer in settings.zone_peers)
-        self._others = tuple(
+        self._other_entries = tuple(
             peer for peer in settings.peers if peer.name != settings.name
         )
-        self.contacts = Contacts(
+        self.contacts = PeerContacts(
             self.incarnation_ns,
-            (peer.name for peer in self._others),
+            (peer.name for peer in self._other_entries),
             settings.contact_limit_s,
         )
         self._links: dict[str, PeerLink] = {}
         self._handlers: dict[type[WireMessage], Handler[Any]] = {}
-        self._syncs: list[Sync] = []
-        self._on_contact: list[Handler[Any]] = []
-        self._on_restart: list[Callable[[str], None]] = []
-        self._on_refused: list[Callable[[str, float], None]] = []
-        self._on_heard: list[Callable[[str], None]] = []
-        self._heard = asyncio.Event()
+        self._message_sources: list[InitialMessages] = []
+        self._contact_listeners: list[Handler[Any]] = []
+        self._restart_listeners: list[Callable[[str], None]] = []
+        self._refused_listeners: list[Callable[[str, float], None]] = []
+        self._connected_listeners: list[Callable[[str], None]] = []
+        self._heartbeat_received = asyncio.Event()
         self._server: asyncio.Server | None = None
         self.handle(Heartbeat, self._on_heartbeat)
         self.handle(Goodbye, self._on_goodbye)
 
     def handle(
         self,
-        message_type: type[_Sent],
-        handler: Handler[_Sent],
+        message_type: type[_MessageT],
+        handler: Handler[_MessageT],
     ) -> None:
-        """Set the one handler of a message type.
+        """Set the only handler of a message type.
 
         Parameters
         ----------
         message_type
-            Which messages.
+            Type of the messages to handle.
         handler
             Called with the sender's hello and the message.
         """
         self._handlers[message_type] = handler
 
-    def sync_with(self, sync: Sync) -> None:
-        """Add messages to send first on each new channel.
+    def add_initial_messages(self, source: InitialMessages) -> None:
+        """Add a source of the messages to send first on each new channel.
 
         Parameters
         ----------
-        sync
-            Called with a peer's name once the peer was heard on a new
-            channel; heartbeats confirm contact only after these messages.
+        source
+            Called with a peer's name at the first heartbeat received after
+            the channel was opened.  Heartbeats echo the peer's time only once
+            these messages are sent.
         """
-        self._syncs.append(sync)
+        self._message_sources.append(source)
 
     def on_peer_restart(self, listener: Callable[[str], None]) -> None:
-        """Call a listener with the name of each peer that was restarted."""
-        self._on_restart.append(listener)
+        """Call a listener with the name of each peer that restarted."""
+        self._restart_listeners.append(listener)
 
     def on_refused(self, listener: Callable[[str, float], None]) -> None:
-        """Call a listener with each peer that refused a connection.
+        """Call a listener with the name of each peer that refuses a connection.
 
-        Unlike silence, this proves that no process listens there.  The
-        listener also gets the monotonic time at which the connection was
-        tried.
+        Unlike a timeout, this proves that no process is listening there.  The
+        listener also receives the monotonic time, in seconds, at which the
+        connection was attempted.
         """
-        self._on_refused.append(listener)
+        self._refused_listeners.append(listener)
 
-    def on_heard(self, listener: Callable[[str], None]) -> None:
-        """Call a listener with each peer heard on a new channel."""
-        self._on_heard.append(listener)
+    def on_connected(self, listener: Callable[[str], None]) -> None:
+        """Call a listener with each peer at its first heartbeat on a channel."""
+        self._connected_listeners.append(listener)
 
-    def after_heartbeat(self, listener: Handler[WireMessage]) -> None:
-        """Call a listener after each message that changes contact."""
-        self._on_contact.append(listener)
+    def on_contact_change(self, listener: Handler[WireMessage]) -> None:
+        """Call a listener after each heartbeat or goodbye."""
+        self._contact_listeners.append(listener)
 
     def post(self, name: str, message: WireMessage) -> bool:
-        """Queue a message to one peer without waiting.
+        """Queue a message to a peer without waiting.
 
         Returns
         -------
         bool
-            False if no channel to the peer is open; True is no promise that
-            the message arrives.
+            False if no channel to the peer is open; True doesn't guarantee
+            delivery.
         """
         link = self._links.get(name)
         if link is None:
@@ -153,34 +154,34 @@
             self.post(name, message)
 
     def is_zone_in_contact(self, now_s: float) -> bool:
-        """Whether all that the zone's entries learned is known here."""
+        """Whether all peers of the zone are in contact."""
         return now_s < self.zone_contact_until_s()
 
     def zone_contact_until_s(self) -> float:
-        """Until when the zone is in contact if no heartbeat comes."""
-        return self.contacts.covered_until_s(self.zone_names)
+        """Return until when the zone is in contact without a new heartbeat."""
+        return self.contacts.in_contact_until_s(self.zone_names)
 
     async def confirm(self, timeout_s: float) -> bool:
-        """Wait until all that was posted has reached every zone peer.
+        """Wait until all posted messages have reached every peer of the zone.
 
         Parameters
         ----------
         timeout_s
-            How long to wait at most, in seconds.
+            Maximum time to wait, in seconds.
 
         Returns
         -------
         bool
-            Whether every peer of the zone has it.
+            Whether they have reached every peer in time.
         """
         posted_s = time.monotonic()
         for name in self.zone_names:
-            self._beat(name, wants_reply=True)
+            self._send_heartbeat(name, wants_reply=True)
         try:
             async with asyncio.timeout(timeout_s):
                 while not self.contacts.has_reached(self.zone_names, posted_s):
-                    self._heard.clear()
-                    await self._heard.wait()
+                    self._heartbeat_received.clear()
+                    await self._heartbeat_received.wait()
         except TimeoutError:
             return False
         return True
@@ -188,11 +189,11 @@
     async def on_start(self) -> None:
         """Listen for peers and connect to each of them."""
         self._server = await serve(self._settings.listen, self._on_channel)
-        for peer in self._others:
+        for peer in self._other_entries:
             self.add_future(self._keep_connected(peer))
 
     async def on_stop(self) -> None:
-        """Tell the peers, then stop listening."""
+        """Send a goodbye to all peers, then stop listening."""
         for name in list(self._links):
             self.post(name, Goodbye())
         if self._server is not None:
@@ -202,10 +203,10 @@
         hello = await channel.receive()
         if not isinstance(hello, PeerHello):
             return
-        if hello.process not in {peer.name for peer in self._others}:
+        if hello.process not in {peer.name for peer in self._other_entries}:
             return
-        if self.contacts.greet(hello):
-            for listener in self._on_restart:
+        if self.contacts.on_hello(hello):
+            for listener in self._restart_listeners:
                 listener(hello.process)
         while True:
             message = await channel.receive()
@@ -215,37 +216,37 @@
 
     def _on_heartbeat(self, hello: PeerHello, heartbeat: Heartbeat) -> None:
         now_s = time.monotonic()
-        self.contacts.hear(hello, heartbeat, now_s)
-        self._heard.set()
+        self.contacts.on_heartbeat(hello, heartbeat, now_s)
+        self._heartbeat_received.set()
         link = self._links.get(hello.process)
         if link is not None and not link.has_synced:
-            self._sync(link)
+            self._send_initial_messages(link)
         if heartbeat.wants_reply:
-            self._beat(hello.process)
-        self._tell_contact(hello, heartbeat)
+            self._send_heartbeat(hello.process)
+        self._notify_contact(hello, heartbeat)
 
     def _on_goodbye(self, hello: PeerHello, goodbye: Goodbye) -> None:
-        self.contacts.leave(hello)
-        self._tell_contact(hello, goodbye)
+        self.contacts.on_goodbye(hello)
+        self._notify_contact(hello, goodbye)
 
-    def _tell_contact(self, hello: PeerHello, message: WireMessage) -> None:
-        for listener in self._on_contact:
+    def _notify_contact(self, hello: PeerHello, message: WireMessage) -> None:
+        for listener in self._contact_listeners:
             listener(hello, message)
 
-    def _sync(self, link: PeerLink) -> None:
-        for listener in self._on_heard:
+    def _send_initial_messages(self, link: PeerLink) -> None:
+        for listener in self._connected_listeners:
             listener(link.peer.name)
-        for sync in self._syncs:
-            for message in sync(link.peer.name):
+        for source in self._message_sources:
+            for message in source(link.peer.name):
                 link.channel.post(message)
         link.has_synced = True
 
-    def _beat(self, name: str, *, wants_reply: bool = False) -> None:
+    def _send_heartbeat(self, name: str, *, wants_reply: bool = False) -> None:
         link = self._links.get(name)
         if link is None:
             return
         link.channel.post(
-            self.contacts.heartbeat(
+            self.contacts.build_heartbeat(
                 name,
                 time.monotonic(),
                 has_synced=link.has_synced,
@@ -255,19 +256,19 @@
 
     async def _keep_connected(self, peer: Member) -> None:
         while not self.should_stop:
-            began_s = time.monotonic()
+            started_s = time.monotonic()
             try:
-                await self._talk(peer)
+                await self._run_channel(peer)
             except WireError as error:
                 if isinstance(error.__cause__, ConnectionRefusedError):
-                    self._tell_refused(peer.name, began_s)
+                    self._notify_refused(peer.name, started_s)
                 await self.sleep(_RETRY_S)
 
-    def _tell_refused(self, name: str, began_s: float) -> None:
-        for listener in self._on_refused:
-            listener(name, began_s)
+    def _notify_refused(self, name: str, started_s: float) -> None:
+        for listener in self._refused_listeners:
+            listener(name, started_s)
 
-    async def _talk(self, peer: Member) -> None:
+    async def _run_channel(self, peer: Member) -> None:
         channel = await connect(peer.address)
         settings = self._settings
         link = PeerLink(peer, channel, time.monotonic())
@@ -276,12 +277,12 @@
         )
         self._links[peer.name] = link
         self._log.info(LogEvent.PEER_CONNECTED, peer=peer.name)
-        beating = asyncio.ensure_future(self._keep_beating(link))
+        heartbeats = asyncio.ensure_future(self._send_heartbeats(link))
         try:
-            # Peers send on channels of their own: this only waits for the end.
+            # Peers send on their own channels, so this only waits for the close.
             await channel.receive()
         finally:
-            beating.cancel()
+            heartbeats.cancel()
             await self._unlink(link)
 
     async def _unlink(self, link: PeerLink) -> None:
@@ -289,13 +290,16 @@
         self._log.warning(LogEvent.PEER_LOST, peer=link.peer.name)
         await link.channel.close()
 
-    async def _keep_beating(self, link: PeerLink) -> None:
+    async def _send_heartbeats(self, link: PeerLink) -> None:
         name = link.peer.name
-        is_near = link.peer.zone == self._settings.zone
-        interval_s = ZONE_HEARTBEAT_S if is_near else FAR_HEARTBEAT_S
+        is_same_zone = link.peer.zone == self._settings.zone
+        interval_s = ZONE_HEARTBEAT_S if is_same_zone else FAR_HEARTBEAT_S
         while True:
-            self._beat(name)
+            self._send_heartbeat(name)
             await asyncio.sleep(interval_s)
-            alive_s = max(link.opened_s, self.contacts.peer(name).echoed_s)
-            if time.monotonic() - alive_s > interval_s * _SILENT_BEATS:
+            last_echo_s = max(link.opened_s, self.contacts.peer(name).echoed_s)
+            if (
+                time.monotonic() - last_echo_s
+                > interval_s * _MAX_SILENT_HEARTBEATS
+            ):
                 link.channel.abort()
--- a/src/wigeonreach/entry/_spread.py
+++ b/src/wigeonreach/entry/_spread.py
@@ -1,4 +1,4 @@
-"""Carry what targets announced between this entry and its peers."""
+"""Exchange target announcements with the peers of the zone."""
 
 from __future__ import annotations
 
@@ -8,10 +8,14 @@
 import mode
 import msgspec
 
+from wigeonreach.entry._dissemination import (
+    Dissemination,
+    MergedRecord,
+    PeerMessage,
+)
 from wigeonreach.entry._membership import Membership, Merge
 from wigeonreach.entry._pause import PauseWatch
 from wigeonreach.entry._peers import PeerExchange
-from wigeonreach.entry._spreading import Merged, Spreading, ToPeer
 from wigeonreach.entry._target_state import TargetAnswered
 from wigeonreach.observe import LogEvent, Logger, Metrics
 from wigeonreach.wire._base import WireMessage
@@ -26,23 +30,24 @@
 _TICK_S = 0.1
 _TICKS_PER_BATCH = 3
 _TICKS_PER_EXPIRY = 5
-# A leaving target is answered within this, told or not told.
-_CONFIRM_S = 0.4
+# A leaving target gets its response within this time, even if not all peers
+# have confirmed the leave.
+_CONFIRM_TIMEOUT_S = 0.4
 
 
 class Spread(mode.Service):
-    """Keep the membership of this entry and of its zone's peers alike.
+    """Keeps the memberships of all entries of the zone synchronized.
 
     Parameters
     ----------
     membership
-        Table that is kept up to date.
+        The membership to update.
     peers
         Channels to the other entries.
     metrics
-        Counters of what announcements changed.
+        Counters of announcements by their effect.
     logger
-        Where events are logged.
+        Log for targets that join, leave or expire.
     """
 
     def __init__(
@@ -52,14 +57,14 @@
         metrics: Metrics,
         logger: Logger,
     ) -> None:
-        """Take over the handling of messages about targets."""
+        """Register the handlers of target messages."""
         super().__init__()
         self._membership = membership
         self._peers = peers
         self._metrics = metrics
         self._log = logger
         self._pause = PauseWatch(time.monotonic())
-        self._spreading = Spreading(
+        self._dissemination = Dissemination(
             membership,
             peers.contacts,
             peers.incarnation_ns,
@@ -67,59 +72,59 @@
         )
         peers.handle(Targets, self._on_targets)
         peers.handle(Renewals, self._on_renewals)
-        peers.sync_with(self._sync)
-        peers.after_heartbeat(self._on_contact)
+        peers.add_initial_messages(self._initial_messages)
+        peers.on_contact_change(self._on_contact)
         peers.on_peer_restart(self._on_restart)
-        self._spreading.extend_contact()
-        # What a former process of this entry was told is forgotten.
-        membership.distrust(time.monotonic())
+        self._dissemination.update_contact()
+        # A leave announced to an earlier process of this entry may be lost.
+        membership.require_confirmation(time.monotonic())
 
     def learn(self, record: TargetRecord) -> Merge:
-        """Merge what a target announced here and pass it on.
+        """Merge an announcement of a target and relay it.
 
         Parameters
         ----------
         record
-            What the target announced.
+            The announced record.
 
         Returns
         -------
         Merge
-            What the announcement changed here.
+            Effect of the announcement.
         """
         now_s = time.monotonic()
         waited_s = now_s - self._pause.arrived_s(now_s)
-        merged, outgoing = self._spreading.learn(
+        merged, outgoing = self._dissemination.learn(
             msgspec.structs.replace(record, age_s=waited_s),
             now_s,
         )
         self._metrics.count('announcements', merged.name.lower())
-        self._log_merged(Merged(record, merged))
+        self._log_merged(MergedRecord(record, merged))
         self._post(outgoing)
         return merged
 
     async def is_known_everywhere(self, state: TargetState) -> bool:
-        """Whether each entry of the zone knows what was announced here.
+        """Whether all entries of the zone know of an announcement.
 
-        For a leave this waits until each has confirmed it.  For the rest it
-        is enough that none is out of contact.
+        For a leave this waits until each of them has confirmed it.  For any
+        other state it suffices that all of them are in contact.
         """
         if state is TargetState.LEAVING:
-            return await self._peers.confirm(_CONFIRM_S)
+            return await self._peers.confirm(_CONFIRM_TIMEOUT_S)
         return self._peers.is_zone_in_contact(time.monotonic())
 
     def see(self, answered: TargetAnswered) -> None:
-        """Take what a target said of itself in an answer to this entry."""
+        """Handle the state that a target reported in a response."""
         left = self._membership.see(answered)
         if left is not None:
             self._metrics.count('announcements', 'seen_leaving')
             self._log.info(LogEvent.TARGET_LEAVING, target=left.target_id)
             self._post(
-                self._spreading.tell(left.target_id, time.monotonic()),
+                self._dissemination.announce(left.target_id, time.monotonic()),
             )
 
     @mode.Service.task
-    async def _keep_ticking(self) -> None:
+    async def _run_periodically(self) -> None:
         ticks = 0
         while not self.should_stop:
             await self.sleep(_TICK_S)
@@ -127,7 +132,7 @@
             now_s = time.monotonic()
             self._pause.tick(now_s)
             if ticks % _TICKS_PER_BATCH == 0:
-                self._post(self._spreading.take_renewed(now_s))
+                self._post(self._dissemination.take_renewals(now_s))
             if ticks % _TICKS_PER_EXPIRY == 0:
                 self._expire(now_s)
 
@@ -136,26 +141,26 @@
             self._log.info(LogEvent.TARGET_EXPIRED, target=record.target_id)
 
     def _on_contact(self, _hello: PeerHello, _message: WireMessage) -> None:
-        self._spreading.extend_contact()
+        self._dissemination.update_contact()
 
     def _on_restart(self, name: str) -> None:
-        self._spreading.on_restart(name, time.monotonic())
+        self._dissemination.on_restart(name, time.monotonic())
 
-    def _sync(self, name: str) -> Iterable[WireMessage]:
-        return self._spreading.sync(name, time.monotonic())
+    def _initial_messages(self, name: str) -> Iterable[WireMessage]:
+        return self._dissemination.initial_messages(name, time.monotonic())
 
     def _on_targets(self, _hello: PeerHello, targets: Targets) -> None:
-        for merged in self._spreading.on_targets(targets, time.monotonic()):
+        for merged in self._dissemination.on_targets(targets, time.monotonic()):
             self._log_merged(merged)
 
     def _on_renewals(self, _hello: PeerHello, batch: Renewals) -> None:
-        self._spreading.on_renewals(batch, time.monotonic())
+        self._dissemination.on_renewals(batch, time.monotonic())
 
-    def _post(self, outgoing: list[ToPeer]) -> None:
-        for one in outgoing:
-            self._peers.post(one.peer, one.message)
+    def _post(self, outgoing: list[PeerMessage]) -> None:
+        for message in outgoing:
+            self._peers.post(message.peer, message.message)
 
-    def _log_merged(self, merged: Merged) -> None:
+    def _log_merged(self, merged: MergedRecord) -> None:
         record = merged.record
         is_serving = record.state is TargetState.SERVING
         if merged.merge is Merge.JOINED and is_serving:
--- a/src/wigeonreach/entry/_verifier.py
+++ b/src/wigeonreach/entry/_verifier.py
@@ -1,4 +1,4 @@
-"""Ask targets for their state while a peer that may know more is silent."""
+"""Probe targets for their state while a peer is out of contact."""
 
 from __future__ import annotations
 
@@ -15,27 +15,28 @@
 from wigeonreach.entry._target_state import read_target_state
 from wigeonreach.observe import Metrics
 
-_SHORTEST_TICK_S = 0.1
-# Looking for whom to ask may take one part in this many of the time.
-_LOOKING_DIVISOR = 60
-# Looked at this long before trust lapses, so that it need not lapse.
-_AHEAD_S = 0.35
+_MIN_TICK_S = 0.1
+# Selecting the targets to probe may take this fraction, 1/60, of the time.
+_SELECTION_TIME_DIVISOR = 60
+# Targets are probed this long before their confirmation expires, so that a
+# reply arrives in time.
+_PROBE_AHEAD_S = 0.35
 _PROBE_TIMEOUT_S = 0.3
 _PROBES_PER_TICK = 5
-_AT_ONCE = 32
+_MAX_CONCURRENT_PROBES = 32
 
 
 class Verifier(mode.Service):
-    """Probe targets that this entry can't trust from its records alone.
+    """Probes targets whose records are not confirmed.
 
     Parameters
     ----------
     membership
-        Says which targets to look at.
+        Selects the targets to probe.
     spread
-        Told what they answered.
+        Receives the reported states.
     metrics
-        Counters of probes and why they failed.
+        Counters of probes by their result.
     """
 
     def __init__(
@@ -44,38 +45,40 @@
         spread: Spread,
         metrics: Metrics,
     ) -> None:
-        """Start with nothing asked."""
+        """Start without any probe."""
         super().__init__()
         self._membership = membership
         self._spread = spread
         self._metrics = metrics
-        self._asked: set[str] = set()
+        self._in_flight: set[str] = set()
 
     @mode.Service.task
-    async def _keep_looking(self) -> None:
-        connector = aiohttp.TCPConnector(limit=_AT_ONCE, force_close=True)
+    async def _probe_periodically(self) -> None:
+        connector = aiohttp.TCPConnector(
+            limit=_MAX_CONCURRENT_PROBES, force_close=True
+        )
         async with (
             aiohttp.ClientSession(connector=connector) as session,
             asyncio.TaskGroup() as group,
         ):
             while not self.should_stop:
-                began_s = time.monotonic()
-                chosen = self._choose(began_s)
-                looked_s = time.monotonic() - began_s
-                for member in chosen:
-                    self._asked.add(member.record.address)
+                started_s = time.monotonic()
+                selected = self._select(started_s)
+                selection_s = time.monotonic() - started_s
+                for member in selected:
+                    self._in_flight.add(member.record.address)
                     group.create_task(self._probe(session, member))
-                tick_s = max(_SHORTEST_TICK_S, looked_s * _LOOKING_DIVISOR)
+                tick_s = max(_MIN_TICK_S, selection_s * _SELECTION_TIME_DIVISOR)
                 await self.sleep(tick_s)
 
-    def _choose(self, now_s: float) -> list[Member]:
-        able = (
+    def _select(self, now_s: float) -> list[Member]:
+        eligible = (
             member
-            for member in self._membership.lapsing(_AHEAD_S, now_s)
+            for member in self._membership.lapsing(_PROBE_AHEAD_S, now_s)
             if member.record.state_path
-            and member.record.address not in self._asked
+            and member.record.address not in self._in_flight
         )
-        return list(itertools.islice(able, _PROBES_PER_TICK))
+        return list(itertools.islice(eligible, _PROBES_PER_TICK))
 
     async def _probe(
         self,
@@ -99,7 +102,7 @@
             self._metrics.count('probes', 'no_answer')
             return
         finally:
-            self._asked.discard(record.address)
+            self._in_flight.discard(record.address)
         if answered is None:
             self._metrics.count('probes', 'no_state')
             return
--- a/tests/builders_credits.py
+++ b/tests/builders_credits.py
@@ -1,4 +1,4 @@
-"""Build entries that share targets, and a network that misbehaves."""
+"""Build entries that share targets, and simulate a faulty network."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 FAR_FUTURE_S = 1e9
 LONG_AGO_S = -100.0
 
-_PAUSES_S = (0.01, 0.1, 0.3, 0.6, 0.9, 1.1, 2.6, 3.6)
-_WATCH_S = 0.3
-_MANY = 20
+_WAITS_S = (0.01, 0.1, 0.3, 0.6, 0.9, 1.1, 2.6, 3.6)
+_CONNECT_INTERVAL_S = 0.3
+_MAX_ACQUIRED = 20
 
 
 def build_membership(*records: TargetRecord) -> Membership:
-    """Return a membership in which the targets serve for ever."""
+    """Return a membership that contains the given targets."""
     membership = Membership()
     for record in records or (build_record(),):
         membership.merge(record, 0)
@@ -46,7 +46,7 @@
     started_s: float = LONG_AGO_S,
     membership: Membership | None = None,
 ) -> Router:
-    """Return a router that has been up for long."""
+    """Return a router that by default was started long ago."""
     sharer = Sharer(
         name=name,
         zone=zone,
@@ -69,13 +69,13 @@
 
 
 def acquire_all(router: Router, now_s: float) -> list[Slot]:
-    """Ask for more slots than there are and return those given."""
-    asked = [router.acquire('records', now_s) for _ in range(_MANY)]
+    """Acquire as many slots as possible and return them."""
+    asked = [router.acquire('records', now_s) for _ in range(_MAX_ACQUIRED)]
     return [slot for slot in asked if slot is not None]
 
 
 def exchange(routers: dict[str, Router], now_s: float) -> None:
-    """Let every router tick and carry all messages at once."""
+    """Let every router tick and deliver all messages immediately."""
     for name, router in routers.items():
         for outgoing in router.tick(now_s):
             deliver(routers, name, outgoing, now_s)
@@ -87,18 +87,18 @@
     outgoing: Outgoing,
     now_s: float,
 ) -> None:
-    """Carry one message, and the answer to it back."""
-    reply = hand_over(routers[outgoing.peer], outgoing, now_s)
+    """Deliver a message, and its reply if there is one."""
+    reply = deliver_message(routers[outgoing.peer], outgoing, now_s)
     if reply is not None:
-        hand_over(routers[source], Outgoing(source, reply), now_s)
+        deliver_message(routers[source], Outgoing(source, reply), now_s)
 
 
-def hand_over(
+def deliver_message(
     router: Router,
     outgoing: Outgoing,
     now_s: float,
 ) -> SlotsLent | None:
-    """Give one message to a router and return its answer."""
+    """Deliver a message to a router and return its reply."""
     message = outgoing.message
     if isinstance(message, SlotsAsked):
         return router.credits.on_asked(message, now_s)
@@ -110,7 +110,7 @@
 
 
 class Step(enum.Enum):
-    """What may happen next to a group of entries."""
+    """Steps of a simulation."""
 
     WAIT = enum.auto()
     ACQUIRE = enum.auto()
@@ -136,30 +136,30 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Work:
-    """One request at the target, and the entry's side of it."""
+class TargetRequest:
+    """A request at the target, and the slot that it occupies."""
 
     entry: str
     incarnation: int
     slot: Slot
     ends_s: float
-    given_up_s: float
+    abandoned_s: float
     is_released: bool = False
 
 
-class CreditWorld:
-    """Entries that share one target of zone ``a``, on one true clock.
+class CreditSimulation:
+    """Entries that share one target of zone ``a``, with a common clock.
 
     Parameters
     ----------
     names
-        The entries; the first letter of each is its zone.
+        Names of the entries; the first letter of each is its zone.
     slots
-        How many slots the target has.
+        Number of slots of the target.
     """
 
     def __init__(self, names: Sequence[str], slots: int) -> None:
-        """Start with every entry up for long."""
+        """Create entries that were started long ago."""
         self._names = tuple(names)
         self._record = build_forever(slots=slots)
         self.now_s = 0.0
@@ -167,7 +167,7 @@
         self._frozen: set[str] = set()
         self._dead: set[str] = set()
         self._messages: list[Outgoing] = []
-        self._works: list[Work] = []
+        self._requests: list[TargetRequest] = []
         self._routers = {name: self._router(name, LONG_AGO_S) for name in names}
         for name in names:
             for peer in names:
@@ -179,29 +179,29 @@
             Step.TICK: self._tick,
             Step.DELIVER: self._deliver,
             Step.REPEAT: functools.partial(self._deliver, keep=True),
-            Step.LOSE: self._lose,
+            Step.LOSE: self._drop_message,
             Step.FREEZE: self._freeze,
             Step.KILL: self._kill,
             Step.RESTART: self._restart,
-            Step.WATCH: self._watch,
+            Step.WATCH: self._try_connections,
         }
 
     @property
     def running(self) -> int:
-        """How many requests the target works on now."""
-        return sum(work.ends_s > self.now_s for work in self._works)
+        """Number of requests that the target is working on."""
+        return sum(request.ends_s > self.now_s for request in self._requests)
 
-    def do(self, step: Step, which: int, amount: int) -> None:
-        """Let one thing happen.
+    def apply(self, step: Step, which: int, amount: int) -> None:
+        """Apply one step of the simulation.
 
         Parameters
         ----------
         step
-            What.
+            The step.
         which
-            Chooses the entry.
+            Selects the entry.
         amount
-            How much of it, or which message.
+            Size of the step, or the message to act on.
         """
         self._actions[step](self._names[which % len(self._names)], amount)
         self._release_ended()
@@ -218,34 +218,35 @@
             membership=build_membership(self._record),
         )
 
-    def _runs(self, name: str) -> bool:
+    def _is_running(self, name: str) -> bool:
         return name not in self._frozen and name not in self._dead
 
     def _wait(self, _name: str, amount: int) -> None:
-        self.now_s += _PAUSES_S[amount % len(_PAUSES_S)]
+        self.now_s += _WAITS_S[amount % len(_WAITS_S)]
 
     def _acquire(self, name: str, amount: int) -> None:
-        if not self._runs(name):
+        if not self._is_running(name):
             return
         for number in range(amount + 1):
             slot = self._routers[name].acquire('records', self.now_s)
             if slot is None:
                 return
-            # Some runs last to the bound; of some the entry gives up early.
+            # Some requests last for the maximum duration, and the entry abandons
+            # some early.
             length_s = WORK_BOUND_S / (1 + number % 3)
-            given_up_s = FAR_FUTURE_S if number % 2 else self.now_s + 0.2
-            self._works.append(
-                Work(
+            abandoned_s = FAR_FUTURE_S if number % 2 else self.now_s + 0.2
+            self._requests.append(
+                TargetRequest(
                     name,
                     self._incarnations[name],
                     slot,
                     self.now_s + length_s,
-                    given_up_s,
+                    abandoned_s,
                 ),
             )
 
     def _tick(self, name: str, _amount: int) -> None:
-        if self._runs(name):
+        if self._is_running(name):
             self._messages.extend(self._routers[name].tick(self.now_s))
 
     def _settle(self, _name: str, amount: int) -> None:
@@ -265,18 +266,18 @@
             return
         index = amount % len(self._messages)
         outgoing = self._messages[index]
-        if not self._runs(outgoing.peer):
+        if not self._is_running(outgoing.peer):
             return
         if not keep:
             self._messages.pop(index)
         router = self._routers[outgoing.peer]
-        reply = hand_over(router, outgoing, self.now_s)
+        reply = deliver_message(router, outgoing, self.now_s)
         if reply is not None:
             assert isinstance(outgoing.message, SlotsAsked)
             borrower = outgoing.message.borrower
             self._messages.append(Outgoing(borrower, reply))
 
-    def _lose(self, _name: str, amount: int) -> None:
+    def _drop_message(self, _name: str, amount: int) -> None:
         if self._messages:
             self._messages.pop(amount % len(self._messages))
 
@@ -293,15 +294,15 @@
         self._incarnations[name] += 1
         self._routers[name] = self._router(name, self.now_s)
 
-    def _watch(self, name: str, amount: int) -> None:
+    def _try_connections(self, name: str, amount: int) -> None:
         for _ in range(2 * amount + 1):
-            self.now_s += _WATCH_S
+            self.now_s += _CONNECT_INTERVAL_S
             self._release_ended()
             for peer in self._names:
-                if peer != name and self._runs(name):
-                    self._look(name, peer)
+                if peer != name and self._is_running(name):
+                    self._try_connection(name, peer)
 
-    def _look(self, name: str, peer: str) -> None:
+    def _try_connection(self, name: str, peer: str) -> None:
         credits_ = self._routers[name].credits
         if peer in self._dead:
             credits_.note_refused(peer, self.now_s)
@@ -309,17 +310,17 @@
             credits_.note_connected(peer)
 
     def _release_ended(self) -> None:
-        for work in self._works:
-            ended_s = min(work.ends_s, work.given_up_s)
-            if work.is_released or ended_s > self.now_s:
+        for request in self._requests:
+            ended_s = min(request.ends_s, request.abandoned_s)
+            if request.is_released or ended_s > self.now_s:
                 continue
-            if self._incarnations[work.entry] != work.incarnation:
-                work.is_released = True
-            elif self._runs(work.entry):
-                self._release(work)
-
-    def _release(self, work: Work) -> None:
-        work.is_released = True
-        is_answered = work.ends_s <= self.now_s
+            if self._incarnations[request.entry] != request.incarnation:
+                request.is_released = True
+            elif self._is_running(request.entry):
+                self._release(request)
+
+    def _release(self, request: TargetRequest) -> None:
+        request.is_released = True
+        is_answered = request.ends_s <= self.now_s
         ending = Ending.ANSWERED if is_answered else Ending.GIVEN_UP
-        self._routers[work.entry].release(work.slot, ending, self.now_s)
+        self._routers[request.entry].release(request.slot, ending, self.now_s)
--- a/tests/builders_zone.py
+++ b/tests/builders_zone.py
@@ -1,4 +1,4 @@
-"""Build a zone of entries that share announcements over a faulty network."""
+"""Simulate a zone of entries that exchange records over a faulty network."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 import msgspec
 
 from tests.builders import build_record
-from wigeonreach.entry._contact import Contacts
+from wigeonreach.entry._contact import PeerContacts
+from wigeonreach.entry._dissemination import Dissemination, PeerMessage
 from wigeonreach.entry._membership import Membership
 from wigeonreach.entry._pause import PauseWatch
-from wigeonreach.entry._spreading import Spreading, ToPeer
 from wigeonreach.entry._target_state import TargetAnswered
 from wigeonreach.wire._base import WireMessage
 from wigeonreach.wire._peer_messages import Heartbeat, PeerHello
@@ -24,9 +24,9 @@
 )
 
 TICK_S = 0.05
-_TICKS_PER_BEAT = 5
+_TICKS_PER_HEARTBEAT = 5
 _TICKS_PER_PROBE = 2
-_AHEAD_S = 0.35
+_PROBE_AHEAD_S = 0.35
 _SKEW_S = 1000.0
 
 
@@ -39,7 +39,7 @@
 
 @dataclasses.dataclass(slots=True)
 class FakeLink:
-    """A channel that keeps order; while it is cut nothing arrives."""
+    """An ordered channel that delivers nothing while it is cut."""
 
     delay_s: float = 0
     is_cut: bool = False
@@ -49,7 +49,7 @@
 
 @dataclasses.dataclass(slots=True)
 class FakeTarget:
-    """What is true of the target; an entry may or may not know it."""
+    """The actual state of the target, which entries may not know."""
 
     record: TargetRecord
     left_s: float = float('inf')
@@ -63,7 +63,7 @@
         return self.record
 
     def leave(self, now_s: float) -> None:
-        """Leave, from now on."""
+        """Start leaving."""
         self.left_s = min(self.left_s, now_s)
         self.record = msgspec.structs.replace(
             self.record,
@@ -72,7 +72,7 @@
 
 
 class FakeEntry:
-    """The decisions of one entry, with a clock of its own."""
+    """The membership logic of one entry, with its own clock."""
 
     def __init__(
         self,
@@ -82,72 +82,74 @@
         now_s: float,
         incarnation_ns: int,
     ) -> None:
-        """Start, knowing nothing."""
+        """Start without any target or contact."""
         self.name = name
         self.hello = PeerHello(name, 'a', incarnation_ns)
         self.skew_s = skew_s
         self.is_frozen = False
         self.membership = Membership('a')
-        self.contacts = Contacts(incarnation_ns, peers)
-        self.spreading = Spreading(
+        self.contacts = PeerContacts(incarnation_ns, peers)
+        self.dissemination = Dissemination(
             self.membership,
             self.contacts,
             incarnation_ns,
             peers,
         )
         self.pause = PauseWatch(now_s + skew_s)
-        self.spreading.extend_contact()
-        self.membership.distrust(now_s + skew_s)
+        self.dissemination.update_contact()
+        self.membership.require_confirmation(now_s + skew_s)
 
     def serves(self, now_s: float) -> bool:
-        """Whether it would give the target new work."""
+        """Whether the entry would send new requests to the target."""
         return bool(
             self.membership.serving('records', now_s + self.skew_s),
         )
 
-    def learn(self, record: TargetRecord, now_s: float) -> list[ToPeer]:
-        """Take an announcement of the target itself."""
+    def learn(self, record: TargetRecord, now_s: float) -> list[PeerMessage]:
+        """Handle an announcement that the target sent to this entry."""
         clock_s = now_s + self.skew_s
         waited_s = clock_s - self.pause.arrived_s(clock_s)
-        _, outgoing = self.spreading.learn(
+        _, outgoing = self.dissemination.learn(
             msgspec.structs.replace(record, age_s=waited_s),
             clock_s,
         )
         return outgoing
 
-    def hear(self, packet: _Packet, now_s: float) -> None:
-        """Take a message of a peer."""
+    def receive(self, packet: _Packet, now_s: float) -> None:
+        """Handle a message of a peer."""
         clock_s = now_s + self.skew_s
-        if self.contacts.greet(packet.hello):
-            self.spreading.on_restart(packet.hello.process, clock_s)
+        if self.contacts.on_hello(packet.hello):
+            self.dissemination.on_restart(packet.hello.process, clock_s)
         match packet.message:
             case Heartbeat():
-                self.contacts.hear(packet.hello, packet.message, clock_s)
-                self.spreading.extend_contact()
+                self.contacts.on_heartbeat(
+                    packet.hello, packet.message, clock_s
+                )
+                self.dissemination.update_contact()
             case Targets():
-                self.spreading.on_targets(packet.message, clock_s)
+                self.dissemination.on_targets(packet.message, clock_s)
             case Renewals():
-                self.spreading.on_renewals(packet.message, clock_s)
+                self.dissemination.on_renewals(packet.message, clock_s)
 
 
 class FakeZone:
-    """Entries, the links between them, and one target.
+    """Three entries, the links between them, and one target.
 
     Parameters
     ----------
     lease_s
-        Lease that the target asks for, in seconds.
+        Lease of the target, in seconds.
     """
 
     def __init__(self, lease_s: float = 30.0) -> None:
-        """Start every entry; none has heard of another yet."""
+        """Start every entry, out of contact with the others."""
         self.now_s = 0.0
         self.names = ('x', 'y', 'z')
         self.target = FakeTarget(
             build_record(lease_s=lease_s, state_path='/state', sequence=0),
         )
         self.probes_cut: set[str] = set()
-        self.waiting: list[tuple[float, str, TargetRecord]] = []
+        self.announcements: list[tuple[float, str, TargetRecord]] = []
         self._incarnations = itertools.count(1)
         self._ticks = 0
         self.entries = {name: self._start(name) for name in self.names}
@@ -156,59 +158,59 @@
         }
 
     def announce(self, name: str, delay_s: float) -> None:
-        """Have the target tell one entry; it arrives later, if at all."""
+        """Send an announcement to one entry, to arrive after a delay."""
         arrives_s = self.now_s + delay_s
-        self.waiting.append((arrives_s, name, self.target.announce()))
+        self.announcements.append((arrives_s, name, self.target.announce()))
 
     def announce_twice(self, name: str, delay_s: float) -> None:
-        """Have one announcement arrive at once and again later."""
+        """Send an announcement that arrives at once and again later."""
         self.announce(name, 0)
-        arrives_s, _, record = self.waiting[-1]
-        self.waiting.append((arrives_s + delay_s, name, record))
+        arrives_s, _, record = self.announcements[-1]
+        self.announcements.append((arrives_s + delay_s, name, record))
 
     def cut(self, source: str, target: str) -> None:
-        """Hold back what one entry sends to another."""
+        """Hold back the messages from one entry to another."""
         self.links[source, target].is_cut = True
 
     def heal(self, source: str, target: str) -> None:
-        """Let what was held back arrive."""
+        """Deliver the messages that were held back."""
         self.links[source, target].is_cut = False
 
     def delay(self, source: str, target: str, delay_s: float) -> None:
-        """Delay what one entry sends to another."""
+        """Delay the messages from one entry to another."""
         self.links[source, target].delay_s = delay_s
 
     def isolate(self, name: str) -> None:
-        """Cut an entry off from the others, both ways."""
+        """Cut all links between an entry and the others."""
         for pair, link in self.links.items():
             link.is_cut = link.is_cut or name in pair
 
     def heal_all(self) -> None:
-        """Let everything arrive that was held back."""
+        """Deliver the messages that were held back on all links."""
         for link in self.links.values():
             link.is_cut = False
 
     def freeze(self, name: str) -> None:
-        """Stop an entry; what arrives waits for it."""
+        """Suspend an entry; its incoming messages are queued."""
         self.entries[name].is_frozen = True
 
     def wake(self, name: str) -> None:
-        """Let an entry go on."""
+        """Resume a suspended entry."""
         self.entries[name].is_frozen = False
 
     def cut_probes(self, *names: str) -> None:
-        """Let entries reach the target no more."""
+        """Make the probes of entries fail."""
         self.probes_cut.update(names)
 
     def restart(self, name: str) -> None:
-        """Kill an entry and start it again: what it knew is lost."""
+        """Kill and restart an entry, which loses its state."""
         self.entries[name] = self._start(name)
         for pair, link in self.links.items():
             if name in pair:
                 self._reopen(link)
 
     def reconnect(self, source: str, target: str) -> None:
-        """Break a channel: what is under way on it is lost."""
+        """Reopen a channel, which loses the messages in transit."""
         self._reopen(self.links[source, target])
 
     def run(self, length_s: float) -> None:
@@ -234,26 +236,26 @@
     def _tick(self) -> None:
         self._ticks += 1
         self.now_s += TICK_S
-        awake = [one for one in self.entries.values() if not one.is_frozen]
-        for entry in awake:
-            # What waited in a process that slept is read before anything else.
+        active = [one for one in self.entries.values() if not one.is_frozen]
+        for entry in active:
+            # A resumed process reads its queued input before anything else.
             self._deliver_announcements(entry)
             self._deliver_messages(entry)
             entry.pause.tick(self.now_s + entry.skew_s)
-        for entry in awake:
-            if self._ticks % _TICKS_PER_BEAT == 0:
-                self._beat(entry)
+        for entry in active:
+            if self._ticks % _TICKS_PER_HEARTBEAT == 0:
+                self._send_heartbeats(entry)
             if self._ticks % _TICKS_PER_PROBE == 0:
                 self._probe(entry)
 
     def _deliver_announcements(self, entry: FakeEntry) -> None:
         due = [
             one
-            for one in self.waiting
+            for one in self.announcements
             if one[0] <= self.now_s and one[1] == entry.name
         ]
         for one in due:
-            self.waiting.remove(one)
+            self.announcements.remove(one)
             for message in entry.learn(one[2], self.now_s):
                 self._send(entry, message.peer, message.message)
 
@@ -262,32 +264,32 @@
             if target != entry.name or link.is_cut:
                 continue
             while link.packets and link.packets[0].arrives_s <= self.now_s:
-                entry.hear(link.packets.popleft(), self.now_s)
-                self._sync(entry, source)
+                entry.receive(link.packets.popleft(), self.now_s)
+                self._send_initial_messages(entry, source)
 
-    def _sync(self, entry: FakeEntry, peer: str) -> None:
+    def _send_initial_messages(self, entry: FakeEntry, peer: str) -> None:
         link = self.links[entry.name, peer]
         if link.has_synced:
             return
         clock_s = self.now_s + entry.skew_s
-        for message in entry.spreading.sync(peer, clock_s):
+        for message in entry.dissemination.initial_messages(peer, clock_s):
             self._send(entry, peer, message)
         link.has_synced = True
 
-    def _beat(self, entry: FakeEntry) -> None:
+    def _send_heartbeats(self, entry: FakeEntry) -> None:
         clock_s = self.now_s + entry.skew_s
-        for message in entry.spreading.take_renewed(clock_s):
+        for message in entry.dissemination.take_renewals(clock_s):
             self._send(entry, message.peer, message.message)
         for peer in self.names:
             if peer == entry.name:
                 continue
             link = self.links[entry.name, peer]
-            beat = entry.contacts.heartbeat(
+            heartbeat = entry.contacts.build_heartbeat(
                 peer,
                 clock_s,
                 has_synced=link.has_synced,
             )
-            self._send(entry, peer, beat)
+            self._send(entry, peer, heartbeat)
 
     def _send(self, entry: FakeEntry, peer: str, message: WireMessage) -> None:
         link = self.links[entry.name, peer]
@@ -300,7 +302,7 @@
         if entry.name in self.probes_cut:
             return
         clock_s = self.now_s + entry.skew_s
-        for member in entry.membership.lapsing(_AHEAD_S, clock_s):
+        for member in entry.membership.lapsing(_PROBE_AHEAD_S, clock_s):
             entry.membership.see(
                 TargetAnswered(
                     member.record.address,
--- a/tests/entry/key_world.py
+++ b/tests/entry/key_world.py
@@ -1,4 +1,4 @@
-"""Model entries, copies of requests, crashes and time for key tables."""
+"""State machine of entries, request copies and crashes for key tables."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from wigeonreach.exceptions import RequestRefusedError
 
 _ENTRIES = ('a0', 'b0')
-# Few pieces of work, so that many events meet at the same one.
+# Few requests, so that many events concern the same one.
 _MAX_WORKS = 5
 _LIMITS = KeyLimits(lifetime_s=30, max_keys=2, max_answer_bytes=600)
 _PICK = st.integers(min_value=0, max_value=1000)
@@ -30,13 +30,16 @@
 
 
 class ForgetfulTable(KeyTable):
-    """Lets a key that was refused be used again, as many services do."""
+    """Faulty table that lets a refused key be used again.
+
+    Many services implement idempotency keys this way.
+    """
 
     def finish(self, number: int, result: KeyResult, now_s: float) -> None:
-        """Forget refusals at once."""
+        """Discard the record of a refused request immediately."""
         super().finish(number, result, now_s)
         if result.outcome is Outcome.NOT_RUN:
-            self._entries.pop(number, None)
+            self._records.pop(number, None)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/tests/entry/test_credits.py
+++ b/tests/entry/test_credits.py
@@ -1,4 +1,4 @@
-"""Test that all entries together keep within a target's slots."""
+"""Test that all entries together never exceed a target's slots."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 from tests.builders_credits import (
     LIKELY_STEPS,
     WORK_BOUND_S,
-    CreditWorld,
+    CreditSimulation,
     Step,
     acquire_all,
     build_forever,
     build_membership,
     build_router,
+    deliver_message,
     exchange,
-    hand_over,
 )
 from wigeonreach.entry._credits import (
     LEASE_S,
     Outgoing,
-    home_share,
-    reserve_of,
+    permanent_share,
+    reserved_slots,
 )
 from wigeonreach.entry._credits_borrower import BorrowedSlot
 from wigeonreach.entry._credits_lender import Lender, Loan, OwnShare
@@ -41,7 +41,7 @@
 _SLOTS = 8
 _STEPS = 60
 _EXAMPLES = 200
-_MOST_PROGRAMS = 3000
+_MAX_PROGRAMS = 3000
 _Program = Iterable[tuple[Step, int, int]]
 
 _PROGRAMS = st.lists(
@@ -58,11 +58,11 @@
 _GROUPS = (_PAIR, ('a0', 'a1', 'a2'), ('a0', 'a1', 'b0'))
 
 
-def _overfills(program: _Program, names: Sequence[str]) -> bool:
-    world = CreditWorld(names, _SLOTS)
+def _exceeds_limit(program: _Program, names: Sequence[str]) -> bool:
+    simulation = CreditSimulation(names, _SLOTS)
     for step, which, amount in program:
-        world.do(step, which, amount)
-        if world.running > _SLOTS:
+        simulation.apply(step, which, amount)
+        if simulation.running > _SLOTS:
             return True
     return False
 
@@ -75,11 +75,11 @@
     ]
 
 
-def _reuse_at_once(loan: Loan, now_s: float) -> None:
+def _reclaim_at_once(loan: Loan, now_s: float) -> None:
     loan.reclaim_s = now_s
 
 
-def _reuse_at_lease_end(loan: Loan, now_s: float) -> None:
+def _reclaim_at_lease_end(loan: Loan, now_s: float) -> None:
     loan.reclaim_s = now_s + LEASE_S
 
 
@@ -91,50 +91,52 @@
 def _no_wait_after_restart() -> Iterator[None]:
     build = Lender._new_share
 
-    def build_at_once(lender: Lender, *rest: Any) -> OwnShare:
+    def build_usable_share(lender: Lender, *rest: Any) -> OwnShare:
         share = build(lender, *rest)
         share.usable_from_s = 0
         return share
 
-    with mock.patch.object(Lender, '_new_share', build_at_once):
+    with mock.patch.object(Lender, '_new_share', build_usable_share):
         yield
 
 
 @contextlib.contextmanager
 def _no_wait_before_takeover() -> Iterator[None]:
-    free = Takeover.free
+    free_pools = Takeover.free_pools
 
-    def free_at_once(
+    def free_pools_at_once(
         takeover: Takeover,
         record: Any,
         _bound_s: float,
         now_s: float,
     ) -> Any:
-        return free(takeover, record, -LEASE_S, now_s)
+        return free_pools(takeover, record, -LEASE_S, now_s)
 
-    with mock.patch.object(Takeover, 'free', free_at_once):
+    with mock.patch.object(Takeover, 'free_pools', free_pools_at_once):
         yield
 
 
-_Planted = Callable[[], contextlib.AbstractContextManager[Any]]
-_PLANTED: Mapping[str, _Planted] = types.MappingProxyType(
+_Fault = Callable[[], contextlib.AbstractContextManager[Any]]
+_INJECTED_FAULTS: Mapping[str, _Fault] = types.MappingProxyType(
     {
-        'lent slot reused at once': lambda: mock.patch.object(
+        'lent slot reclaimed at once': lambda: mock.patch.object(
             Loan,
             'renew',
-            _reuse_at_once,
+            _reclaim_at_once,
         ),
-        'lent slot reused at the end of the lease': lambda: mock.patch.object(
-            Loan,
-            'renew',
-            _reuse_at_lease_end,
+        'lent slot reclaimed at the end of the lease': lambda: (
+            mock.patch.object(
+                Loan,
+                'renew',
+                _reclaim_at_lease_end,
+            )
         ),
         'lease ignored': lambda: mock.patch.object(
             BorrowedSlot,
             'is_free',
             _ignore_lease,
         ),
-        'slot of a given-up request reused': lambda: mock.patch.object(
+        'slot of an abandoned request reused': lambda: mock.patch.object(
             Ending,
             'may_still_work',
             new=False,
@@ -145,30 +147,30 @@
 )
 
 
-class TestSlotsAreNeverPassed(testtools.TestCase):
-    """The sum over all entries, under every failure at once."""
+class TestSlotLimit(testtools.TestCase):
+    """The number of requests at a target under combined failures."""
 
     @seed(1)
     @settings(database=None, deadline=None, max_examples=_EXAMPLES)
     @given(program=_PROGRAMS, names=st.sampled_from(_GROUPS))
-    def test_sum(self, program: _Program, names: Sequence[str]) -> None:
-        """No loss, delay, repeat, freeze, kill or restart passes the slots."""
-        self.assertFalse(_overfills(program, names))
-
-    def test_planted_faults(self) -> None:
-        """Such programs find each shortcut that would be tempting."""
-        for name, planted in _PLANTED.items():
-            with planted():
+    def test_limit_holds(self, program: _Program, names: Sequence[str]) -> None:
+        """Message loss, delay, repeats and crashes never exceed the slots."""
+        self.assertFalse(_exceeds_limit(program, names))
+
+    def test_detects_injected_faults(self) -> None:
+        """Random programs detect each fault injected into the protocol."""
+        for name, inject in _INJECTED_FAULTS.items():
+            with inject():
                 found = any(
-                    _overfills(_random_program(number), _PAIR)
-                    for number in range(_MOST_PROGRAMS)
+                    _exceeds_limit(_random_program(number), _PAIR)
+                    for number in range(_MAX_PROGRAMS)
                 )
             self.assertTrue(found, name)
 
-    def test_sound(self) -> None:
-        """The programs that find the faults find none without them."""
+    def test_no_false_alarm(self) -> None:
+        """The same programs find no violation without an injected fault."""
         for number in range(_EXAMPLES):
-            self.assertFalse(_overfills(_random_program(number), _PAIR))
+            self.assertFalse(_exceeds_limit(_random_program(number), _PAIR))
 
     def test_shares(self) -> None:
         """Shares add up to the slots, for any number of entries."""
@@ -176,60 +178,60 @@
             for count in range(1, 9):
                 names = [f'a{one}' for one in range(count)]
                 shares = [
-                    home_share(slots, names, name, f'records-{slots}')
+                    permanent_share(slots, names, name, f'records-{slots}')
                     for name in names
                 ]
                 self.assertThat(sum(shares), Equals(slots))
 
 
 class TestLoans(testtools.TestCase):
-    """What uneven load gets, and when a loan ends."""
+    """Loans under uneven load, and the end of a loan."""
 
     def setUp(self) -> None:
-        """Two entries of one zone share one target of 8 slots."""
+        """Let two entries of one zone share a target with 8 slots."""
         super().setUp()
         self.busy = build_router('a0', ['a1'])
         self.idle = build_router('a1', ['a0'])
         self.routers = {'a0': self.busy, 'a1': self.idle}
 
     def test_uneven(self) -> None:
-        """A busy entry gets all but the reserve of an idle one."""
+        """A busy entry gets all but the reserved slots of an idle one."""
         taken = acquire_all(self.busy, 0)
         exchange(self.routers, 0)
         taken += acquire_all(self.busy, 0)
 
-        self.assertThat(taken, HasLength(_SLOTS - reserve_of(_SLOTS // 2)))
+        self.assertThat(taken, HasLength(_SLOTS - reserved_slots(_SLOTS // 2)))
         self.assertThat(acquire_all(self.idle, 0), HasLength(1))
 
-    def test_lease_counts_from_the_question(self) -> None:
-        """The borrower stops one lease after it asked, answer or not."""
+    def test_lease_starts_at_request(self) -> None:
+        """The borrower's lease starts when it sent the request."""
         acquire_all(self.busy, 0)
         asked = self.busy.tick(0)[0]
-        lent = hand_over(self.idle, asked, 0.9)
+        lent = deliver_message(self.idle, asked, 0.9)
         assert lent is not None
-        hand_over(self.busy, Outgoing('a0', lent), 0.95)
+        deliver_message(self.busy, Outgoing('a0', lent), 0.95)
 
         self.assertThat(acquire_all(self.busy, LEASE_S), HasLength(0))
 
-    def test_lender_waits(self) -> None:
-        """Slots come back one lease and one longest run after the loan."""
+    def test_reclaim_time(self) -> None:
+        """Slots are reclaimed a lease and a maximum duration after the loan."""
         acquire_all(self.busy, 0)
         exchange(self.routers, 0)
-        end_s = LEASE_S + WORK_BOUND_S
+        reclaim_s = LEASE_S + WORK_BOUND_S
 
-        self.assertThat(acquire_all(self.idle, end_s - 0.01), HasLength(1))
-        self.assertThat(acquire_all(self.idle, end_s), HasLength(3))
+        self.assertThat(acquire_all(self.idle, reclaim_s - 0.01), HasLength(1))
+        self.assertThat(acquire_all(self.idle, reclaim_s), HasLength(3))
 
-    def test_returned(self) -> None:
-        """Idle loans are returned, and their lender uses them at once."""
+    def test_idle_loan_returned(self) -> None:
+        """Idle loans are returned, and their lender can use them at once."""
         acquire_all(self.busy, 0)
         exchange(self.routers, 0)
         exchange(self.routers, LEASE_S)
 
         self.assertThat(acquire_all(self.idle, LEASE_S), HasLength(4))
 
-    def test_pressed(self) -> None:
-        """An entry whose own callers found no slot lends nothing."""
+    def test_lender_under_load(self) -> None:
+        """An entry whose own requests found no slot lends nothing."""
         acquire_all(self.busy, 0)
         acquire_all(self.idle, 0)
         exchange(self.routers, 0)
@@ -237,35 +239,35 @@
         self.assertThat(acquire_all(self.busy, 0), HasLength(0))
 
     def test_restarted(self) -> None:
-        """A restarted entry waits, and its peer lends to it meanwhile."""
-        fresh = build_router('a0', ['a1'], incarnation_ns=2, started_s=0)
-        routers = {'a0': fresh, 'a1': self.idle}
+        """A restarted entry waits for its own share but borrows meanwhile."""
+        restarted = build_router('a0', ['a1'], incarnation_ns=2, started_s=0)
+        routers = {'a0': restarted, 'a1': self.idle}
 
-        self.assertThat(acquire_all(fresh, 0.1), HasLength(0))
+        self.assertThat(acquire_all(restarted, 0.1), HasLength(0))
         exchange(routers, 0.1)
-        self.assertThat(acquire_all(fresh, 0.1), HasLength(3))
-        whole_s = LEASE_S + WORK_BOUND_S
-        self.assertThat(acquire_all(fresh, whole_s), HasLength(4))
+        self.assertThat(acquire_all(restarted, 0.1), HasLength(3))
+        usable_from_s = LEASE_S + WORK_BOUND_S
+        self.assertThat(acquire_all(restarted, usable_from_s), HasLength(4))
 
     def test_first_seen(self) -> None:
-        """No wait is needed for a target that nobody knew before."""
-        fresh = build_router('a0', ['a1'], incarnation_ns=2, started_s=0)
-        fresh.credits.note_first_seen(TargetKey('records-0', 1))
+        """A restarted entry need not wait for a previously unknown target."""
+        restarted = build_router('a0', ['a1'], incarnation_ns=2, started_s=0)
+        restarted.credits.note_first_seen(TargetKey('records-0', 1))
 
-        self.assertThat(acquire_all(fresh, 0.1), HasLength(4))
+        self.assertThat(acquire_all(restarted, 0.1), HasLength(4))
 
-    def test_gone_peer(self) -> None:
-        """The share of a peer that refuses connections is used in time."""
-        waits_s = LEASE_S + WORK_BOUND_S
+    def test_refusing_peer(self) -> None:
+        """The share of a peer that refuses connections is taken over in time."""
+        takeover_s = LEASE_S + WORK_BOUND_S
         self.busy.credits.note_connected('a1')
         for tenth in range(40):
             self.busy.credits.note_refused('a1', tenth / 10)
 
-        self.assertThat(acquire_all(self.busy, waits_s - 0.1), HasLength(4))
-        self.assertThat(acquire_all(self.busy, waits_s), HasLength(4))
+        self.assertThat(acquire_all(self.busy, takeover_s - 0.1), HasLength(4))
+        self.assertThat(acquire_all(self.busy, takeover_s), HasLength(4))
 
     def test_silent_peer(self) -> None:
-        """The share of a peer that is only silent is left alone."""
+        """The share of a peer that is merely silent is not taken over."""
         self.busy.credits.note_connected('a1')
 
         self.assertThat(acquire_all(self.busy, 1000), HasLength(4))
@@ -274,28 +276,28 @@
 class TestOtherZones(testtools.TestCase):
     """Loans to entries of other zones."""
 
-    def test_spill(self) -> None:
-        """Another zone gets a capped part of idle slots, and no more."""
-        empty = build_router(
+    def test_loan_to_other_zone(self) -> None:
+        """Another zone gets at most the foreign loan limit of idle slots."""
+        unserved = build_router(
             'b0',
             [],
             ['a0'],
             zone='b',
             membership=build_membership(build_forever(service='other')),
         )
-        full = build_router('a0', [], ['b0'])
-        routers = {'b0': empty, 'a0': full}
+        lender = build_router('a0', [], ['b0'])
+        routers = {'b0': unserved, 'a0': lender}
 
-        acquire_all(empty, 0)
+        acquire_all(unserved, 0)
         for tenth in range(10):
             exchange(routers, tenth / 10)
-            acquire_all(empty, tenth / 10)
+            acquire_all(unserved, tenth / 10)
 
-        self.assertThat(empty.in_flight_at('records-0'), Equals(2))
-        self.assertThat(acquire_all(full, 0.9), HasLength(6))
+        self.assertThat(unserved.in_flight_at('records-0'), Equals(2))
+        self.assertThat(acquire_all(lender, 0.9), HasLength(6))
 
-    def test_nobody_serves(self) -> None:
-        """A service is given up for a while once every zone lent nothing."""
+    def test_no_zone_lends(self) -> None:
+        """A service counts as unserved for a while once no zone lends slots."""
         router = build_router('a0', [], ['b0', 'c0'])
 
         self.assertTrue(router.is_served('other', 0))
