--- a/tests/entry/test_spreading.py
+++ b/tests/entry/test_dissemination.py
@@ -1,4 +1,4 @@
-"""Test what entries know of targets when messages go wrong."""
+"""Test the entries' view of targets under network faults and restarts."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 _Step = tuple[str, tuple[Any, ...]]
 
 
-def _quiet_zone() -> FakeZone:
+def _stable_zone() -> FakeZone:
     zone = FakeZone(_LEASE_S)
     zone.run(1)
     zone.announce('x', 0)
@@ -51,21 +51,21 @@
     )
 
 
-def _do(zone: FakeZone, step: _Step) -> None:
+def _apply_step(zone: FakeZone, step: _Step) -> None:
     name, arguments = step
     getattr(zone, name)(*arguments)
 
 
-class TestSpreading(testtools.TestCase):
-    """Three entries whose clocks differ, and one target."""
+class TestDissemination(testtools.TestCase):
+    """Three entries with different clocks, and one target."""
 
-    def test_learn_at_once(self) -> None:
-        """Each entry of the zone learns what one was told."""
-        self.assertThat(_serving(_quiet_zone()), Equals('xyz'))
+    def test_announcement_reaches_all(self) -> None:
+        """An announcement to one entry reaches all entries of the zone."""
+        self.assertThat(_serving(_stable_zone()), Equals('xyz'))
 
-    def test_cut_off(self) -> None:
-        """An entry that is cut off goes on with targets that answer it."""
-        zone = _quiet_zone()
+    def test_partitioned_entry(self) -> None:
+        """A partitioned entry keeps using targets that answer its probes."""
+        zone = _stable_zone()
         zone.isolate('z')
         for _ in range(20):
             zone.run(0.3)
@@ -75,16 +75,16 @@
         self.assertThat(_serving(zone), Equals('xy'))
 
     def test_restarted_entry(self) -> None:
-        """An entry that restarts learns every target from its peers."""
-        zone = _quiet_zone()
+        """A restarted entry learns all targets from its peers."""
+        zone = _stable_zone()
         zone.restart('x')
         self.assertThat(_serving(zone), Equals('yz'))
         zone.run(0.8)
         self.assertThat(_serving(zone), Equals('xyz'))
 
-    def test_forgotten_leave(self) -> None:
-        """A leave told to an entry that forgets it is noticed all the same."""
-        zone = _quiet_zone()
+    def test_leave_lost_by_restart(self) -> None:
+        """A leave is detected even if the only informed entry restarts."""
+        zone = _stable_zone()
         zone.cut_probes('x', 'y', 'z')
         zone.isolate('x')
         zone.target.leave(zone.now_s)
@@ -95,9 +95,9 @@
         zone.run(_LEAVE_BOUND_S)
         self.assertThat(_serving(zone), Equals(''))
 
-    def test_late_leave(self) -> None:
-        """Heartbeats that come regularly but late hide no leave."""
-        zone = _quiet_zone()
+    def test_leave_with_delayed_heartbeats(self) -> None:
+        """Delayed but regular heartbeats don't hide a leave."""
+        zone = _stable_zone()
         zone.cut_probes('x', 'y', 'z')
         zone.delay('x', 'y', 3)
         zone.delay('x', 'z', 3)
@@ -108,7 +108,7 @@
         self.assertThat(_serving(zone), Equals(''))
 
     def test_relayed_lease(self) -> None:
-        """A lease ends no later at an entry for having been relayed late."""
+        """A delayed relay doesn't extend the lease."""
         zone = FakeZone(_LEASE_S)
         zone.cut_probes('x', 'y', 'z')
         zone.run(1)
@@ -143,16 +143,16 @@
         told: str,
         after: list[_Step],
     ) -> None:
-        """No entry serves past the bound, whatever is lost or late."""
-        zone = _quiet_zone()
+        """No entry serves past the bound, whatever is lost or delayed."""
+        zone = _stable_zone()
         for step in before:
-            _do(zone, step)
+            _apply_step(zone, step)
         zone.entries[told].is_frozen = False
         zone.target.leave(zone.now_s)
         zone.announce(told, 0)
         zone.run(TICK_S)
         for late in after:
-            _do(zone, late)
+            _apply_step(zone, late)
             self._check(zone)
         for _ in range(20):
             zone.run(0.2)
--- a/tests/entry/test_keys.py
+++ b/tests/entry/test_keys.py
@@ -12,7 +12,7 @@
 from wigeonreach.codes import Outcome, ResultCode
 from wigeonreach.entry._attempt import TargetAnswer
 from wigeonreach.entry._keys import KeyCodec
-from wigeonreach.entry._keys_routing import RESTARTED, Forward, place_of
+from wigeonreach.entry._keys_routing import OWNER_RESTARTED, Forward, place_of
 from wigeonreach.entry._keys_table import (
     EXPIRED,
     KeyLimits,
@@ -24,10 +24,10 @@
 
 _LIFETIME_S = 60.0
 _STEPS = 30
-_WORLD_SETTINGS = settings(
+_MACHINE_SETTINGS = settings(
     max_examples=150,
     stateful_step_count=_STEPS,
-    # A failing order is printed as it was found: shrinking takes minutes.
+    # A failing sequence is reported without shrinking, which takes minutes.
     phases=(Phase.generate,),
     deadline=None,
     database=None,
@@ -46,15 +46,15 @@
 
 
 def _explore(world: type[KeyWorld], bounds: settings) -> None:
-    # Orders of events are useless if they end before anything crossed.
+    # Short sequences end before any messages are reordered.
     run_state_machine_as_test(world, settings=bounds, _min_steps=_STEPS)
 
 
 class TestKeyCodec(testtools.TestCase):
-    """A key that no entry issued is refused."""
+    """A key that no entry issued is rejected."""
 
     def test_altered(self) -> None:
-        """Every change of a single character is found."""
+        """Every change of a single character is detected."""
         codec = KeyCodec()
         text = codec.seal(_table().issue('billing', 0))
         self.assertEqual('billing', codec.read(text).service)
@@ -63,8 +63,8 @@
             altered = f'{text[:place]}{new}{text[place + 1 :]}'
             self.assertRaises(RequestRefusedError, codec.read, altered)
 
-    def test_invented(self) -> None:
-        """Only the secret of an incarnation makes a key of it."""
+    def test_forged(self) -> None:
+        """A key signed with another incarnation's secret is rejected."""
         owner, forger = KeyCodec(), KeyCodec()
         limits = KeyLimits(_LIFETIME_S, 1, 1)
         table = KeyTable('a', 'entry-a0', owner.incarnation, limits, 0)
@@ -75,20 +75,22 @@
             self.assertRaises(RequestRefusedError, owner.read, text)
 
 
-class TestPlace(testtools.TestCase):
-    """Only the incarnation that issued a key decides."""
+class TestRouting(testtools.TestCase):
+    """Only the incarnation that issued a key handles its request."""
 
-    def test_place(self) -> None:
-        """Others forward, and the next incarnation knows no more."""
+    def test_other_entry(self) -> None:
+        """Other entries forward; a later incarnation reports a restart."""
         key = _table().issue('billing', 0)
         self.assertEqual(
             Forward('entry-a0'),
             place_of(key, 'billing', 'entry-b0', 'i7'),
         )
-        self.assertEqual(RESTARTED, place_of(key, 'billing', 'entry-a0', 'i2'))
+        self.assertEqual(
+            OWNER_RESTARTED, place_of(key, 'billing', 'entry-a0', 'i2')
+        )
 
     def test_other_service(self) -> None:
-        """A key is of no use for another service."""
+        """A key is not valid for another service."""
         key = _table().issue('billing', 0)
         error = self.assertRaises(
             RequestRefusedError,
@@ -102,10 +104,10 @@
 
 
 class TestKeyTable(testtools.TestCase):
-    """A key runs one request once, and memory stays bounded."""
+    """A key runs one request once, and memory use is bounded."""
 
-    def test_first_answer(self) -> None:
-        """A copy waits while the first runs, then has its answer."""
+    def test_repeated_request(self) -> None:
+        """A copy waits while the first request runs, then gets its result."""
         table = _table()
         key = table.issue('billing', 0)
         self.assertIs(Step.RUN, table.begin(key, 7, 1))
@@ -114,15 +116,15 @@
         self.assertEqual(_ran(b'paid'), table.begin(key, 7, 4))
 
     def test_other_request(self) -> None:
-        """The same key with another body is refused and does not run."""
+        """The same key with a different request is refused."""
         table = _table()
         key = table.issue('billing', 0)
         table.begin(key, 7, 1)
         error = self.assertRaises(RequestRefusedError, table.begin, key, 8, 2)
         self.assertEqual(ResultCode.REQUEST_KEY_MISMATCH, error.code)
 
-    def test_refused_for_good(self) -> None:
-        """A request that was told "not run" stays so for all its copies."""
+    def test_refusal_is_final(self) -> None:
+        """A "not run" result holds for all later copies of the request."""
         table = _table()
         key = table.issue('billing', 0)
         table.begin(key, 7, 1)
@@ -131,7 +133,7 @@
         self.assertEqual(refused, table.begin(key, 7, 3))
 
     def test_answer_forgotten(self) -> None:
-        """An answer that no longer fits is known to have run."""
+        """A request whose response was evicted is still known to have run."""
         table = _table(max_answer_bytes=600)
         keys = [table.issue('billing', 0) for _ in range(3)]
         for key in keys:
@@ -142,7 +144,7 @@
         self.assertEqual(592, table.answer_bytes)
 
     def test_expired(self) -> None:
-        """An expired key never runs, and what it took is given back."""
+        """An expired key never runs, and its memory is released."""
         table = _table(max_keys=2)
         used, slow = table.issue('billing', 0), table.issue('billing', 0)
         table.begin(used, 7, 1)
@@ -154,7 +156,7 @@
         self.assertEqual((0, 0), (table.remembered, table.answer_bytes))
 
     def test_limit(self) -> None:
-        """No more keys are issued than can be remembered."""
+        """No more keys are issued than the limit allows."""
         table = _table(max_keys=2)
         table.issue('billing', 0)
         table.issue('billing', 1)
@@ -168,15 +170,15 @@
         self.assertEqual(2, table.issue('billing', _LIFETIME_S).number)
 
 
-class TestKeyWorld(testtools.TestCase):
+class TestKeyStateMachine(testtools.TestCase):
     """Copies, crashes, lost messages and expiry never run a key twice."""
 
     def test_at_most_once(self) -> None:
-        """No order of events breaks the promise."""
-        _explore(KeyWorld, _WORLD_SETTINGS)
+        """No sequence of events runs the request of a key twice."""
+        _explore(KeyWorld, _MACHINE_SETTINGS)
 
-    def test_finds_planted_fault(self) -> None:
-        """A table that lets a refused key run again is found out."""
+    def test_detects_injected_fault(self) -> None:
+        """A table that lets a refused key run again is detected."""
 
         class Planted(KeyWorld):  # noqa: WPS431 - hypothesis wants a class
             table_type = ForgetfulTable
@@ -185,6 +187,6 @@
             AssertionError,
             _explore,
             Planted,
-            # It stops with the first order that breaks the promise.
-            settings(_WORLD_SETTINGS, max_examples=1000),
+            # The run stops at the first violating sequence.
+            settings(_MACHINE_SETTINGS, max_examples=1000),
         )
--- a/tests/entry/test_keys_forward.py
+++ b/tests/entry/test_keys_forward.py
@@ -1,4 +1,4 @@
-"""Test that requests reach the owner of their key over the wire."""
+"""Test that requests are forwarded to the owner of their key."""
 
 from __future__ import annotations
 
@@ -33,40 +33,40 @@
 
 
 class _Config:
-    """A text in force."""
+    """Fake holder of the active configuration."""
 
     def __init__(self, text: FleetText) -> None:
         self.text = text
 
 
 class _Peers:
-    """Carries messages between the entries of one test, encoded."""
+    """Fake peer exchange that encodes and decodes each message."""
 
     def __init__(self, name: str, all_peers: dict[str, _Peers]) -> None:
         self._hello = PeerHello(name, 'a', 1)
-        self._all = all_peers
+        self._all_peers = all_peers
         self.handlers: dict[type, Callable[[PeerHello, Any], None]] = {}
         all_peers[name] = self
 
     def handle(
         self,
-        kind: type,
+        message_type: type,
         handler: Callable[[PeerHello, Any], None],
     ) -> None:
-        self.handlers[kind] = handler
+        self.handlers[message_type] = handler
 
     def on_peer_restart(self, _listener: Callable[[str], None]) -> None:
-        """No peer restarts here."""
+        """Ignore the listener, since no peer restarts in these tests."""
 
     def post(self, name: str, message: WireMessage) -> bool:
         arrived = _DECODER.decode(msgspec.msgpack.encode(message))
-        handler = self._all[name].handlers[type(arrived)]
+        handler = self._all_peers[name].handlers[type(arrived)]
         asyncio.get_running_loop().call_soon(handler, self._hello, arrived)
         return True
 
 
 class _Dispatcher:
-    """Counts what it was told to run."""
+    """Fake dispatcher that records the requests it was given."""
 
     def __init__(self) -> None:
         self.ran: list[bytes] = []
@@ -78,7 +78,7 @@
 
 
 class _Entry:
-    """The parts of one entry that deal with keys."""
+    """The components of an entry that handle keys."""
 
     def __init__(self, name: str, all_peers: dict[str, _Peers]) -> None:
         address = Address('127.0.0.1', 1)
@@ -90,7 +90,7 @@
             cast(Dispatcher, self.dispatcher),
             Metrics(),
         )
-        self.keyed = KeyedRequests(
+        self.requests = KeyedRequests(
             name,
             self.owner,
             cast(PeerExchange, _Peers(name, all_peers)),
@@ -114,11 +114,11 @@
     )
 
 
-class TestForward(testtools.TestCase):
-    """Only the owner has a request run, and every copy gets its answer."""
+class TestKeyForwarding(testtools.TestCase):
+    """Only the owner runs a request, and each copy gets the response."""
 
     def test_copies(self) -> None:
-        """Copies through both entries at once run once, at the owner."""
+        """Concurrent copies sent to both entries run once, at the owner."""
 
         async def send() -> tuple[_Entry, _Entry, set[bytes]]:
             peers: dict[str, _Peers] = {}
@@ -126,7 +126,7 @@
             key = owner.owner.issue('billing')
             results = await asyncio.gather(
                 *(
-                    entry.keyed.answer(_request(key, b'w'))
+                    entry.requests.answer(_request(key, b'w'))
                     for entry in (other, owner, other)
                 ),
             )
@@ -138,16 +138,16 @@
         self.assertEqual([b'w'], owner.dispatcher.ran)
         self.assertEqual([], other.dispatcher.ran)
 
-    def test_refused(self) -> None:
-        """Another body, another service or an own key runs nothing."""
+    def test_rejected_without_run(self) -> None:
+        """A different body or service or an invalid key runs nothing."""
 
         async def send() -> tuple[_Entry, list[_Ending]]:
             peers: dict[str, _Peers] = {}
             owner, other = _Entry('a0', peers), _Entry('b0', peers)
             key = owner.owner.issue('billing')
-            await other.keyed.answer(_request(key, b'w'))
+            await other.requests.answer(_request(key, b'w'))
             results = [
-                await other.keyed.answer(request)
+                await other.requests.answer(request)
                 for request in (
                     _request(key, b'x'),
                     _request(key, b'w', 'records'),
--- a/tests/entry/test_membership.py
+++ b/tests/entry/test_membership.py
@@ -1,4 +1,4 @@
-"""Test which targets may be given new work."""
+"""Test which targets accept new requests."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     """Leases and the order of announcements."""
 
     def test_lease_ends(self) -> None:
-        """A target whose lease ended gets no new work."""
+        """A target whose lease ended gets no new requests."""
         membership = Membership()
         membership.merge(build_record(lease_s=2), now_s=10)
 
@@ -23,7 +23,7 @@
         self.assertThat(membership.serving('records', 12), HasLength(0))
 
     def test_leaving(self) -> None:
-        """A target that leaves gets no new work at once."""
+        """A leaving target gets no new requests from then on."""
         membership = Membership()
         membership.merge(build_record(), now_s=0)
 
@@ -35,8 +35,8 @@
         self.assertThat(merged, Equals(Merge.LEFT))
         self.assertThat(membership.serving('records', 0), HasLength(0))
 
-    def test_crossed(self) -> None:
-        """An announcement that was overtaken by a leave changes nothing."""
+    def test_late_announcement(self) -> None:
+        """An announcement that arrives after a leave is ignored."""
         membership = Membership()
         leaving = build_record(sequence=2, state=TargetState.LEAVING)
         membership.merge(leaving, now_s=0)
@@ -45,7 +45,7 @@
             merged = membership.merge(build_record(sequence=sequence), now_s=0)
             self.assertThat(merged, Equals(Merge.NOTHING))
 
-    def test_restarted(self) -> None:
+    def test_new_incarnation(self) -> None:
         """A new incarnation of a target that left serves again."""
         membership = Membership()
         leaving = build_record(sequence=9, state=TargetState.LEAVING)
@@ -58,7 +58,7 @@
         self.assertThat(membership.serving('records', 0), HasLength(1))
 
     def test_address_taken(self) -> None:
-        """Of two targets at one address the newest incarnation gets work."""
+        """Of two targets at one address only the newest incarnation serves."""
         older = build_record()
         newer = build_record(
             target_id='newer',
@@ -75,7 +75,7 @@
             self.assertThat(names, Equals(['newer']))
 
     def test_out_of_contact(self) -> None:
-        """Without contact a target must have been seen a moment ago."""
+        """Without contact a target must have been confirmed recently."""
         membership = Membership('a', contact_until_s=10)
         membership.merge(build_record(lease_s=60), now_s=5)
 
@@ -85,31 +85,34 @@
         self.assertThat(membership.serving('records', 11.1), HasLength(1))
         self.assertThat(membership.serving('records', 11.2), HasLength(0))
 
-    def test_peer_forgot(self) -> None:
-        """A restarted peer may have known of a leave that nobody else knows."""
+    def test_peer_restarted(self) -> None:
+        """After a peer restart a target needs a new confirmation.
+
+        The peer may have lost a leave that no other entry knows of.
+        """
         membership = Membership('a')
         membership.merge(build_record(lease_s=60), now_s=0)
 
-        membership.distrust(5)
+        membership.require_confirmation(5)
 
         self.assertThat(membership.serving('records', 5), HasLength(0))
         membership.merge(build_record(lease_s=60, sequence=2), now_s=6)
         self.assertThat(membership.serving('records', 30), HasLength(1))
 
-    def test_answered_leaving(self) -> None:
-        """A target that says in an answer that it leaves gets no new work."""
+    def test_leave_in_response(self) -> None:
+        """A target that reports leaving in a response gets no new requests."""
         membership = Membership()
         membership.merge(build_record(), now_s=0)
 
-        crossed = _answered(TargetState.LEAVING, incarnation_ns=9)
-        self.assertThat(membership.see(crossed), Is(None))
+        stale = _answered(TargetState.LEAVING, incarnation_ns=9)
+        self.assertThat(membership.see(stale), Is(None))
         left = membership.see(_answered(TargetState.LEAVING))
 
         self.assertThat(left, Not(Is(None)))
         self.assertThat(membership.serving('records', 0), HasLength(0))
 
     def test_relayed_age(self) -> None:
-        """A lease ends no later for having been relayed, or told twice."""
+        """Relaying or repeating an announcement doesn't extend the lease."""
         membership = Membership()
         membership.merge(build_record(age_s=1.5), now_s=10)
         membership.merge(build_record(age_s=1.8), now_s=10)
@@ -118,7 +121,7 @@
         self.assertThat(membership.serving('records', 10.5), HasLength(0))
 
     def test_tombstone(self) -> None:
-        """A leave is remembered well past the lease, then forgotten."""
+        """A leave is kept well past the lease, then removed."""
         membership = Membership()
         membership.merge(build_record(state=TargetState.LEAVING), now_s=0)
 
