--- a/src/wigeonreach/entry/_contact.py
+++ b/src/wigeonreach/entry/_contact.py
@@ -15,6 +15,9 @@
 class PeerContact:
     """Heartbeat state of one peer.
 
+    ``peer_sent_s`` is the newest timestamp received of the peer's clock, and
+    ``heard_s`` the local time of its last heartbeat.
+
     ``echoed_s`` is the newest timestamp of this process's own clock that the
     peer echoed.  Channels deliver in order, so everything that the peer knew
     at that time has arrived here, and everything sent to the peer before that
--- a/src/wigeonreach/entry/_credits_exchange.py
+++ b/src/wigeonreach/entry/_credits_exchange.py
@@ -118,10 +118,10 @@
         """Record that a peer accepted a connection."""
         self._takeover.note_connected(peer)
 
-    def note_refused(self, peer: str, began_s: float) -> None:
-        """Record that a connection attempted at ``began_s`` was refused."""
+    def note_refused(self, peer: str, attempted_s: float) -> None:
+        """Record that a connection attempted at ``attempted_s`` was refused."""
         if peer in self._sharer.zone_peers:
-            self._takeover.note_refused(peer, began_s)
+            self._takeover.note_refused(peer, attempted_s)
 
     def on_asked(self, asked: SlotsAsked, now_s: float) -> SlotsLent | None:
         """Handle a loan request of another entry.
@@ -136,7 +136,7 @@
         Returns
         -------
         SlotsLent or None
-            The reply; None if a newer request arrived before this one.
+            The reply; None if this or a newer request was handled before.
         """
         if self._lender.is_outdated(asked):
             return None
--- a/src/wigeonreach/entry/_credits_lender.py
+++ b/src/wigeonreach/entry/_credits_lender.py
@@ -155,7 +155,10 @@
         return found
 
     def is_outdated(self, asked: SlotsAsked) -> bool:
-        """Whether this or a newer request of the sender was handled before."""
+        """Whether this or a newer request of the sender was handled before.
+
+        If not, the request counts as handled from now on.
+        """
         newest = (asked.borrower_incarnation_ns, asked.sequence)
         if newest <= self._sequences.get(asked.borrower, (0, 0)):
             return True
@@ -174,7 +177,7 @@
         ----------
         asked
             The borrower's request.
-        is_kept
+        may_renew
             Returns whether a loan of a service's target may be renewed.
         now_s
             Monotonic time of this process, in seconds.
--- a/src/wigeonreach/entry/_credits_takeover.py
+++ b/src/wigeonreach/entry/_credits_takeover.py
@@ -54,7 +54,7 @@
         self._connected.add(peer)
         self._refusals.pop(peer, None)
 
-    def note_refused(self, peer: str, began_s: float) -> None:
+    def note_refused(self, peer: str, attempted_s: float) -> None:
         """Record that a connection to a peer was refused.
 
         Parameters
@@ -62,17 +62,17 @@
         peer
             Name of the peer.  A peer that never accepted a connection at its
             address may run at another one, so its refusals are ignored.
-        began_s
+        attempted_s
             Monotonic time at which the connection was attempted, in seconds.
         """
         if peer not in self._connected:
             return
         refusal = self._refusals.get(peer)
-        if refusal is None or began_s - refusal.last_s >= LEASE_S:
+        if refusal is None or attempted_s - refusal.last_s >= LEASE_S:
             # A process may have started and ended within a longer gap.
-            self._refusals[peer] = RefusalPeriod(began_s, began_s)
+            self._refusals[peer] = RefusalPeriod(attempted_s, attempted_s)
         else:
-            refusal.last_s = began_s
+            refusal.last_s = attempted_s
 
     def free_pools(
         self,
--- a/src/wigeonreach/entry/_dissemination.py
+++ b/src/wigeonreach/entry/_dissemination.py
@@ -66,7 +66,7 @@
         self._zone_names = zone_names
         self._renewed: set[str] = set()
 
-    def learn(
+    def on_announcement(
         self,
         record: TargetRecord,
         now_s: float,
@@ -89,10 +89,12 @@
         if merged is Merge.RENEWED:
             self._renewed.add(record.target_id)
         if merged in _RELAYED_IN_FULL:
-            return merged, self.announce(record.target_id, now_s)
+            return merged, self.build_announcement(record.target_id, now_s)
         return merged, []
 
-    def announce(self, target_id: str, now_s: float) -> list[PeerMessage]:
+    def build_announcement(
+        self, target_id: str, now_s: float
+    ) -> list[PeerMessage]:
         """Return the messages that send the record of a target to all peers."""
         members = self._find((target_id,))
         records = tuple(with_current_age(member, now_s) for member in members)
--- a/src/wigeonreach/entry/_keys.py
+++ b/src/wigeonreach/entry/_keys.py
@@ -48,7 +48,7 @@
 
 
 class KeyCodec:
-    """Signs the keys of one incarnation and decodes those of any.
+    """Encodes the keys of one incarnation and decodes those of any.
 
     A checksum lets every entry reject a corrupted key.  A message
     authentication code, whose secret never leaves the process, lets the
@@ -61,7 +61,7 @@
         self._secret = secrets.token_bytes(_SECRET_BYTES)
 
     def seal(self, key: Key) -> str:
-        """Return the signed and encoded text of a key."""
+        """Return the encoded text of a key with its authentication code."""
         plain = msgspec.msgpack.encode(key)
         sealed = plain + self._mac(plain)
         return _encode(sealed + xxhash.xxh32_digest(sealed))
@@ -77,7 +77,8 @@
         Returns
         -------
         Key
-            The key.  Only a key of this incarnation has its signature verified.
+            The key; its authentication code is verified only if it names this
+            incarnation.
 
         Raises
         ------
--- a/src/wigeonreach/entry/_keys_forward.py
+++ b/src/wigeonreach/entry/_keys_forward.py
@@ -60,7 +60,7 @@
 
 
 class KeyedRequests:
-    """Answers requests with keys, forwarding those of other entries' keys.
+    """Answers requests with keys, or forwards them to the keys' owners.
 
     Parameters
     ----------
@@ -166,7 +166,7 @@
     def _on_reply(self, _hello: PeerHello, message: ForwardReply) -> None:
         pending = self._pending.get(message.call_id)
         if pending is None or pending.reply.done():
-            # The request has timed out.
+            # The request has timed out or its owner restarted.
             self._metrics.count('keys', 'late_reply')
             return
         pending.reply.set_result(_from_reply(message))
--- a/src/wigeonreach/entry/_peers.py
+++ b/src/wigeonreach/entry/_peers.py
@@ -256,17 +256,17 @@
 
     async def _keep_connected(self, peer: Member) -> None:
         while not self.should_stop:
-            started_s = time.monotonic()
+            attempted_s = time.monotonic()
             try:
                 await self._run_channel(peer)
             except WireError as error:
                 if isinstance(error.__cause__, ConnectionRefusedError):
-                    self._notify_refused(peer.name, started_s)
+                    self._notify_refused(peer.name, attempted_s)
                 await self.sleep(_RETRY_S)
 
-    def _notify_refused(self, name: str, started_s: float) -> None:
+    def _notify_refused(self, name: str, attempted_s: float) -> None:
         for listener in self._refused_listeners:
-            listener(name, started_s)
+            listener(name, attempted_s)
 
     async def _run_channel(self, peer: Member) -> None:
         channel = await connect(peer.address)
--- a/src/wigeonreach/entry/_spread.py
+++ b/src/wigeonreach/entry/_spread.py
@@ -94,7 +94,7 @@
         """
         now_s = time.monotonic()
         waited_s = now_s - self._pause.arrived_s(now_s)
-        merged, outgoing = self._dissemination.learn(
+        merged, outgoing = self._dissemination.on_announcement(
             msgspec.structs.replace(record, age_s=waited_s),
             now_s,
         )
@@ -120,7 +120,9 @@
             self._metrics.count('announcements', 'seen_leaving')
             self._log.info(LogEvent.TARGET_LEAVING, target=left.target_id)
             self._post(
-                self._dissemination.announce(left.target_id, time.monotonic()),
+                self._dissemination.build_announcement(
+                    left.target_id, time.monotonic()
+                ),
             )
 
     @mode.Service.task
--- a/src/wigeonreach/entry/_verifier.py
+++ b/src/wigeonreach/entry/_verifier.py
@@ -16,7 +16,7 @@
 from wigeonreach.observe import Metrics
 
 _MIN_TICK_S = 0.1
-# Selecting the targets to probe may take this fraction, 1/60, of the time.
+# Selecting the targets to probe takes at most 1/60 of the time.
 _SELECTION_TIME_DIVISOR = 60
 # Targets are probed this long before their confirmation expires, so that a
 # reply arrives in time.
--- a/tests/builders_zone.py
+++ b/tests/builders_zone.py
@@ -105,11 +105,13 @@
             self.membership.serving('records', now_s + self.skew_s),
         )
 
-    def learn(self, record: TargetRecord, now_s: float) -> list[PeerMessage]:
+    def on_announcement(
+        self, record: TargetRecord, now_s: float
+    ) -> list[PeerMessage]:
         """Handle an announcement that the target sent to this entry."""
         clock_s = now_s + self.skew_s
         waited_s = clock_s - self.pause.arrived_s(clock_s)
-        _, outgoing = self.dissemination.learn(
+        _, outgoing = self.dissemination.on_announcement(
             msgspec.structs.replace(record, age_s=waited_s),
             clock_s,
         )
@@ -256,7 +258,7 @@
         ]
         for one in due:
             self.announcements.remove(one)
-            for message in entry.learn(one[2], self.now_s):
+            for message in entry.on_announcement(one[2], self.now_s):
                 self._send(entry, message.peer, message.message)
 
     def _deliver_messages(self, entry: FakeEntry) -> None:
--- a/tests/entry/test_credits.py
+++ b/tests/entry/test_credits.py
@@ -124,12 +124,10 @@
             'renew',
             _reclaim_at_once,
         ),
-        'lent slot reclaimed at the end of the lease': lambda: (
-            mock.patch.object(
-                Loan,
-                'renew',
-                _reclaim_at_lease_end,
-            )
+        'lent slot reclaimed at lease end': lambda: mock.patch.object(
+            Loan,
+            'renew',
+            _reclaim_at_lease_end,
         ),
         'lease ignored': lambda: mock.patch.object(
             BorrowedSlot,
@@ -204,7 +202,7 @@
         self.assertThat(acquire_all(self.idle, 0), HasLength(1))
 
     def test_lease_starts_at_request(self) -> None:
-        """The borrower's lease starts when it sent the request."""
+        """The lease starts at the borrower's request, not at the reply."""
         acquire_all(self.busy, 0)
         asked = self.busy.tick(0)[0]
         lent = deliver_message(self.idle, asked, 0.9)
--- a/tests/entry/test_keys.py
+++ b/tests/entry/test_keys.py
@@ -8,7 +8,7 @@
 from hypothesis import Phase, settings
 from hypothesis.stateful import run_state_machine_as_test
 
-from tests.entry.key_world import ForgetfulTable, KeyWorld
+from tests.entry.key_state_machine import ForgetfulTable, KeyWorld
 from wigeonreach.codes import Outcome, ResultCode
 from wigeonreach.entry._attempt import TargetAnswer
 from wigeonreach.entry._keys import KeyCodec
@@ -64,7 +64,7 @@
             self.assertRaises(RequestRefusedError, codec.read, altered)
 
     def test_forged(self) -> None:
-        """A key signed with another incarnation's secret is rejected."""
+        """A key made with another incarnation's secret is rejected."""
         owner, forger = KeyCodec(), KeyCodec()
         limits = KeyLimits(_LIFETIME_S, 1, 1)
         table = KeyTable('a', 'entry-a0', owner.incarnation, limits, 0)
