--- a/src/wigeonreach/agreement/__init__.py
+++ b/src/wigeonreach/agreement/__init__.py
@@ -1,4 +1,4 @@
-"""Agree on a log of commands, kept on a quorum of disks."""
+"""Raft consensus: a replicated log of commands, stored on a quorum of disks."""
 
 from wigeonreach.agreement._agreement import RaftAgreement
 from wigeonreach.agreement._disk import FolderDisk
--- a/src/wigeonreach/agreement/_agreement.py
+++ b/src/wigeonreach/agreement/_agreement.py
@@ -1,4 +1,4 @@
-"""Run the agreement: one task owns it, a thread writes for it."""
+"""Run the Raft core: one task owns its state, a thread writes to disk."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 import mode
 
 from wigeonreach.agreement._applier import Applier
-from wigeonreach.agreement._callers import Callers
+from wigeonreach.agreement._callers import RequestRouter
 from wigeonreach.agreement._disk_writer import DiskWriter
 from wigeonreach.agreement._links import Links
 from wigeonreach.agreement._raft import Raft
 from wigeonreach.agreement._raft_state import RaftState
 from wigeonreach.agreement._raft_types import (
-    DiskDone,
-    HandOver,
+    WritesSynced,
+    TransferLeadership,
     Output,
-    PeersKnown,
+    PeersDiscovered,
     RaftEvent,
     RaftSettings,
     Received,
     Role,
     Tick,
 )
-from wigeonreach.agreement._requests import Done, Readable
+from wigeonreach.agreement._requests import Applied, ReadIndex
 from wigeonreach.agreement._settings import ReplicaSettings
 from wigeonreach.agreement._state_machine import StateMachine
-from wigeonreach.agreement._storage import Storage, Stored
+from wigeonreach.agreement._storage import Storage, StoredState
 from wigeonreach.codes import ResultCode
 from wigeonreach.exceptions import StateError
 from wigeonreach.observe import LogEvent, Logger
@@ -40,35 +40,35 @@
 _DEFAULT_TIMES = RaftSettings()
 _TICK_S = 0.05
 _CATCH_UP_TIMEOUT_S = 2.5
-_LEADER_MISSING_S = 10.0
+_LEADER_MISSING_INTERVAL_S = 10.0
 _MAX_COMMAND_BYTES = 4 * 1024 * 1024
 
 
-def _ignore() -> None:
-    """Do nothing when the role changes."""
+def _ignore_role_change() -> None:
+    """Ignore changes of the role."""
 
 
 class RaftAgreement(mode.Service):
-    """One replica of the agreement, with its disk and its links.
+    """One Raft replica, with its storage and its links to other replicas.
 
     Parameters
     ----------
     settings
-        Who this replica is and where the others are.
+        Name of this replica and addresses of the others.
     machine
-        What is replicated.
+        The replicated state machine.
     storage
-        Its durable side.
+        Durable storage of the Raft state.
     stored
-        What the storage held at the start.
+        Content of the storage at the start.
     on_failed
-        Called with an error after which the process must not go on.
+        Called with an error after which the process must exit.
     logger
         Where events are logged.
     times
-        Times and sizes of the agreement.
+        Timeouts and size limits of Raft.
     on_role
-        Called after the role or the leader changed.
+        Called after the role or the known leader changed.
     """
 
     def __init__(
@@ -76,13 +76,13 @@
         settings: ReplicaSettings,
         machine: StateMachine,
         storage: Storage,
-        stored: Stored,
+        stored: StoredState,
         on_failed: Callable[[Exception], None],
         logger: Logger,
         times: RaftSettings = _DEFAULT_TIMES,
-        on_role: Callable[[], None] = _ignore,
+        on_role: Callable[[], None] = _ignore_role_change,
     ) -> None:
-        """Restore the state machine; nothing is sent before ``start``."""
+        """Restore the state machine; nothing is sent until it is started."""
         super().__init__()
         self._log = logger
         self._on_failed = on_failed
@@ -97,72 +97,75 @@
         self._inbox: asyncio.Queue[RaftEvent] = asyncio.Queue()
         self._writer = DiskWriter(
             storage,
-            lambda number: self._inbox.put_nowait(DiskDone(number)),
+            lambda number: self._inbox.put_nowait(WritesSynced(number)),
             on_failed,
             logger,
         )
         self._links = Links(settings.members, logger)
         self._on_role = on_role
-        self._callers = Callers(
+        self._requests = RequestRouter(
             self._raft.state,
             self._inbox.put_nowait,
             self._post_message,
         )
-        self._seen_role = self._raft.state.role
-        self._seen_leader: MemberId | None = None
-        self._leader_due_s = math.inf
+        self._reported_role = self._raft.state.role
+        self._reported_leader: MemberId | None = None
+        self._leader_missing_due_s = math.inf
 
     @property
     def is_leader(self) -> bool:
-        """Whether this replica decides on changes now."""
+        """Whether this replica is the leader."""
         return self._raft.state.role is Role.LEADER
 
     @property
     def term(self) -> int:
-        """The newest term that this replica knows."""
-        return self._raft.state.hard.term
+        """The highest term that this replica has seen."""
+        return self._raft.state.hard_state.term
 
     @property
     def leader(self) -> str:
-        """Name of the leader, or nothing if none is known."""
+        """Name of the leader, or an empty string if none is known."""
         leader = self._raft.state.leader
         return leader.name if leader else ''
 
     @property
     def peers(self) -> tuple[str, ...]:
-        """Names of all replicas that this one knows of."""
+        """Names of the voters and, on a leader, of the learners."""
         state = self._raft.state
         known = {voter.name for voter in state.log.voters}
-        if state.leading is not None:
-            known.update(member.name for member in state.leading.progress)
+        if state.leader_state is not None:
+            known.update(member.name for member in state.leader_state.progress)
         return tuple(sorted(known))
 
     def hand_over(self) -> None:
-        """Let another replica lead, if this one does."""
-        self._inbox.put_nowait(HandOver())
+        """Transfer leadership to another replica, if this one leads."""
+        self._inbox.put_nowait(TransferLeadership())
 
     def note_peers(self, names: tuple[str, ...]) -> None:
-        """Take note of other replicas that were heard of."""
-        self._inbox.put_nowait(PeersKnown(names))
+        """Update the names of replicas that were discovered by other means.
+
+        A replica without a vote asks them to let it join.
+        """
+        self._inbox.put_nowait(PeersDiscovered(names))
 
     @property
     def role(self) -> str:
-        """Role of this replica, for people."""
+        """Role of this replica, for display."""
         return self._raft.state.role.value
 
     @property
     def applied_index(self) -> int:
-        """Index of the last entry that was applied here."""
+        """Index of the last entry applied on this replica."""
         return self._applier.index
 
     async def on_start(self) -> None:
-        """Start the links and the writer."""
+        """Start the links and the disk writer."""
         for service in (self._writer, self._links):
             await self.add_runtime_dependency(service)
 
     def receive(self, message: RaftMessage) -> None:
-        """Take a message of another replica."""
-        if not self._callers.receive(message):
+        """Handle a message of another replica."""
+        if not self._requests.receive(message):
             self._inbox.put_nowait(Received(message))
 
     async def propose(self, command: bytes) -> bytes:
@@ -171,7 +174,7 @@
         Raises
         ------
         StateError
-            With ``STATE_NO_QUORUM`` if no quorum confirmed in time: the
+            With ``STATE_NO_QUORUM`` if no quorum confirmed in time; the
             command may still be applied later, or never.
         """
         if len(command) > _MAX_COMMAND_BYTES:
@@ -179,8 +182,8 @@
                 ResultCode.STATE_TOO_LARGE,
                 f'{len(command)} bytes; allowed: {_MAX_COMMAND_BYTES}',
             )
-        outcome = await self._callers.propose(command)
-        if isinstance(outcome, Done):
+        outcome = await self._requests.propose(command)
+        if isinstance(outcome, Applied):
             return outcome.reply
         raise StateError(
             ResultCode.STATE_NO_QUORUM,
@@ -189,15 +192,15 @@
         )
 
     async def read_barrier(self) -> None:
-        """Wait until all that was acknowledged before is applied here.
+        """Wait until every command acknowledged so far is applied here.
 
         Raises
         ------
         StateError
             With ``STATE_NO_QUORUM`` if no leader confirmed in time.
         """
-        outcome = await self._callers.read()
-        if isinstance(outcome, Readable):
+        outcome = await self._requests.read()
+        if isinstance(outcome, ReadIndex):
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(_CATCH_UP_TIMEOUT_S):
                     await self._applier.wait_index(outcome.index)
@@ -208,7 +211,13 @@
         )
 
     async def wait_applied(self, known_index: int) -> int:
-        """Wait until more than ``known_index`` is applied; return how far."""
+        """Wait until an entry after ``known_index`` is applied.
+
+        Returns
+        -------
+        int
+            Index of the last applied entry.
+        """
         return await self._applier.wait_index(known_index + 1)
 
     @mode.Service.task
@@ -238,24 +247,24 @@
 
     async def _step(self, events: Sequence[RaftEvent]) -> None:
         output = self._raft.step(events, time.monotonic())
-        self._carry_out(output)
+        self._execute(output)
         await self._apply(output)
-        self._note_role()
+        self._report_role_change()
 
-    def _carry_out(self, output: Output) -> None:
+    def _execute(self, output: Output) -> None:
         self._writer.post(output.writes)
         for outgoing in output.messages:
             self._post_message(outgoing.target, outgoing.message)
-        self._callers.note_output(output)
+        self._requests.handle_output(output)
 
     async def _apply(self, output: Output) -> None:
         if output.restored is not None:
             self._applier.restore(output.restored)
         for entry in output.committed:
             reply = self._applier.apply(entry)
-            self._callers.note_applied(entry, reply)
+            self._requests.handle_applied(entry, reply)
         if output.restored is not None or output.committed:
-            await self._applier.tell_waiting()
+            await self._applier.notify_waiters()
         taken = self._applier.snapshot_if_due()
         if taken is not None:
             self._inbox.put_nowait(taken)
@@ -263,41 +272,43 @@
     def _post_message(self, name: str, message: RaftMessage) -> None:
         self._links.post(name, message)
 
-    def _note_role(self) -> None:
+    def _report_role_change(self) -> None:
         state = self._raft.state
-        is_changed = state.role is not self._seen_role
-        is_changed = is_changed or state.leader != self._seen_leader
-        if state.role is not self._seen_role:
-            self._seen_role = state.role
+        is_changed = state.role is not self._reported_role
+        is_changed = is_changed or state.leader != self._reported_leader
+        if state.role is not self._reported_role:
+            self._reported_role = state.role
             self._log.info(
                 LogEvent.ROLE_CHANGED,
                 role=state.role.value,
-                term=state.hard.term,
+                term=state.hard_state.term,
             )
-        if state.leader != self._seen_leader:
-            self._seen_leader = state.leader
-            self._callers.note_other_leader()
-        self._note_missing_leader(state)
+        if state.leader != self._reported_leader:
+            self._reported_leader = state.leader
+            self._requests.handle_leader_change()
+        self._warn_if_leader_missing(state)
         if is_changed:
             self._on_role()
 
-    def _note_missing_leader(self, state: RaftState) -> None:
-        latest_s = state.now_s + _LEADER_MISSING_S
+    def _warn_if_leader_missing(self, state: RaftState) -> None:
+        latest_s = state.now_s + _LEADER_MISSING_INTERVAL_S
         if state.leader:
-            self._leader_due_s = math.inf
-        elif state.now_s < self._leader_due_s:
-            self._leader_due_s = min(self._leader_due_s, latest_s)
+            self._leader_missing_due_s = math.inf
+        elif state.now_s < self._leader_missing_due_s:
+            self._leader_missing_due_s = min(
+                self._leader_missing_due_s, latest_s
+            )
         else:
-            self._leader_due_s = latest_s
+            self._leader_missing_due_s = latest_s
             self._log.warning(
                 LogEvent.LEADER_MISSING,
-                reason=_waits_for(state),
+                reason=_leader_missing_reason(state),
             )
 
 
-def _waits_for(state: RaftState) -> str:
+def _leader_missing_reason(state: RaftState) -> str:
     if state.is_blank:
-        return 'new: waits until all replicas were started once'
+        return 'new replica: waits until all replicas have been started'
     if state.is_voter:
-        return 'waits until a majority can be reached'
+        return 'waits until a majority of the voters is reachable'
     return 'has no vote: waits until a leader brings it up to date'
--- a/src/wigeonreach/agreement/_applier.py
+++ b/src/wigeonreach/agreement/_applier.py
@@ -1,4 +1,4 @@
-"""Apply committed entries to the state machine, in order."""
+"""Apply committed entries to the state machine, in log order."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 from wigeonreach.observe import LogEvent, Logger
 from wigeonreach.wire._raft_messages import EntryKind, LogEntry
 
-_SNAPSHOT_ENTRIES = 4096
-_SNAPSHOT_BYTES = 4 * 1024 * 1024
+_MAX_ENTRIES_SINCE_SNAPSHOT = 4096
+_MIN_LOG_GROWTH_BYTES = 4 * 1024 * 1024
 
 
 class Applier:
-    """The state machine and how far it is.
+    """Applies entries to the state machine and tracks the applied index.
 
     Parameters
     ----------
     machine
-        What is replicated.
+        The replicated state machine.
     snapshot
-        The snapshot to begin with, if there is one.
+        The stored snapshot, if there is one.
     logger
         Where events are logged.
     """
@@ -32,22 +32,22 @@
         snapshot: Snapshot | None,
         logger: Logger,
     ) -> None:
-        """Begin with a snapshot or with nothing."""
+        """Restore the snapshot, if there is one."""
         self._machine = machine
         self._log = logger
-        self._moved = asyncio.Condition()
-        self._entries_since = 0
-        self._bytes_since = 0
-        self._snapshot_bytes = 0
+        self._index_changed = asyncio.Condition()
+        self._entries_since_snapshot = 0
+        self._bytes_since_snapshot = 0
+        self._last_snapshot_bytes = 0
         self.index = 0
         if snapshot is not None:
             self.restore(snapshot)
 
     def restore(self, snapshot: Snapshot) -> None:
-        """Replace the state by a snapshot's."""
+        """Replace the state with that of a snapshot."""
         self._machine.restore(snapshot.state)
         self.index = snapshot.index
-        self._note_snapshot(len(snapshot.state))
+        self._reset_growth(len(snapshot.state))
         self._log.info(LogEvent.SNAPSHOT_RESTORED, index=snapshot.index)
 
     def apply(self, entry: LogEntry) -> bytes:
@@ -58,25 +58,25 @@
         elif entry.kind is EntryKind.VOTERS:
             self._log.info(LogEvent.VOTERS_CHANGED, index=entry.index)
         self.index = entry.index
-        self._entries_since += 1
-        self._bytes_since += len(entry.command)
+        self._entries_since_snapshot += 1
+        self._bytes_since_snapshot += len(entry.command)
         return reply
 
     def snapshot_if_due(self) -> SnapshotTaken | None:
-        """Return the whole state if the log has grown enough.
+        """Take a snapshot if the log has grown enough since the last one.
 
-        The log may grow to the size of the last snapshot, so that snapshots
-        cost at most as much as the log itself.
+        The log may grow to the size of the last snapshot, so that writing
+        snapshots costs at most as much as writing the log itself.
         """
-        allowed_bytes = max(_SNAPSHOT_BYTES, self._snapshot_bytes)
+        allowed_bytes = max(_MIN_LOG_GROWTH_BYTES, self._last_snapshot_bytes)
         is_due = (
-            self._entries_since >= _SNAPSHOT_ENTRIES
-            or self._bytes_since >= allowed_bytes
+            self._entries_since_snapshot >= _MAX_ENTRIES_SINCE_SNAPSHOT
+            or self._bytes_since_snapshot >= allowed_bytes
         )
         if not is_due:
             return None
         state = self._machine.snapshot()
-        self._note_snapshot(len(state))
+        self._reset_growth(len(state))
         self._log.info(
             LogEvent.SNAPSHOT_TAKEN,
             index=self.index,
@@ -85,17 +85,17 @@
         return SnapshotTaken(self.index, state)
 
     async def wait_index(self, index: int) -> int:
-        """Wait until an index is applied; return how far it is then."""
-        async with self._moved:
-            await self._moved.wait_for(lambda: self.index >= index)
+        """Wait until an index is applied; return the applied index."""
+        async with self._index_changed:
+            await self._index_changed.wait_for(lambda: self.index >= index)
         return self.index
 
-    async def tell_waiting(self) -> None:
-        """Wake whoever waits for an index."""
-        async with self._moved:
-            self._moved.notify_all()
+    async def notify_waiters(self) -> None:
+        """Wake all tasks that wait for an index."""
+        async with self._index_changed:
+            self._index_changed.notify_all()
 
-    def _note_snapshot(self, size_bytes: int) -> None:
-        self._entries_since = 0
-        self._bytes_since = 0
-        self._snapshot_bytes = size_bytes
+    def _reset_growth(self, size_bytes: int) -> None:
+        self._entries_since_snapshot = 0
+        self._bytes_since_snapshot = 0
+        self._last_snapshot_bytes = size_bytes
--- a/src/wigeonreach/agreement/_callers.py
+++ b/src/wigeonreach/agreement/_callers.py
@@ -1,26 +1,26 @@
-"""Pass requests to the leader, wherever they come from, and answers back."""
+"""Route proposals and reads to the leader, and their outcomes back."""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable
 
-from wigeonreach.agreement._outcomes import read_outcome, write_outcome
+from wigeonreach.agreement._outcomes import decode_outcome, encode_outcome
 from wigeonreach.agreement._raft_state import RaftState
 from wigeonreach.agreement._raft_types import (
-    Origin,
+    RequestOrigin,
     Output,
     Propose,
     RaftEvent,
     Read,
 )
 from wigeonreach.agreement._requests import (
-    Done,
+    Applied,
     NotStored,
-    Readable,
+    ReadIndex,
     RequestOutcome,
-    Requests,
-    Unknown,
+    PendingRequests,
+    OutcomeUnknown,
 )
 from wigeonreach.wire._raft_messages import (
     LogEntry,
@@ -32,25 +32,25 @@
     ReadRequest,
 )
 
-_Outcomes = tuple[type[RequestOutcome], ...]
-_NOT_STORED: _Outcomes = (NotStored,)
-_NOT_KNOWN: _Outcomes = (NotStored, Unknown)
+_OutcomeTypes = tuple[type[RequestOutcome], ...]
+_RETRIED_PROPOSAL_OUTCOMES: _OutcomeTypes = (NotStored,)
+_RETRIED_READ_OUTCOMES: _OutcomeTypes = (NotStored, OutcomeUnknown)
 _RETRY_S = 0.05
 _REPLY_TIMEOUT_S = 2.5
-_MAX_STORED = 4096
+_MAX_PENDING_PROPOSALS = 4096
 
 
-class Callers:
-    """Whoever waits for a proposal or a read, here or on other replicas.
+class RequestRouter:
+    """Routes requests of this replica and, on the leader, of other replicas.
 
     Parameters
     ----------
     state
-        What this replica knows of the agreement; it is only read.
+        Raft state of this replica; it is only read.
     post_event
-        Hands an event to the agreement.
+        Queues an event for the Raft core.
     post_message
-        Sends a message to the replica of a name.
+        Sends a message to the replica with a name.
     """
 
     def __init__(
@@ -59,28 +59,32 @@
         post_event: Callable[[RaftEvent], None],
         post_message: Callable[[str, RaftMessage], None],
     ) -> None:
-        """Begin with nobody waiting."""
+        """Start without pending requests."""
         self._state = state
         self._post_event = post_event
         self._post_message = post_message
-        self._requests = Requests()
+        self._pending = PendingRequests()
 
     async def propose(self, command: bytes) -> RequestOutcome:
-        """Have a command stored, and wait until it is applied."""
+        """Propose a command and wait until it is applied.
+
+        Retried only if it was certainly not stored, so that it is not applied
+        twice.
+        """
         return await self._request(
-            lambda number: self._ask_to_store(number, command),
-            _NOT_STORED,
+            lambda number: self._send_proposal(number, command),
+            _RETRIED_PROPOSAL_OUTCOMES,
         )
 
     async def read(self) -> RequestOutcome:
-        """Learn how far a read must be.
+        """Get the index that must be applied before a read.
 
-        It may be asked again, whatever became of the first one.
+        Reads change nothing, so they are retried whatever the outcome.
         """
-        return await self._request(self._ask_to_read, _NOT_KNOWN)
+        return await self._request(self._send_read, _RETRIED_READ_OUTCOMES)
 
     def receive(self, message: RaftMessage) -> bool:
-        """Take a message that is for callers; tell whether it was one."""
+        """Handle a request or a reply; return False for other messages."""
         is_for_me = message.target_incarnation == self._state.me.incarnation
         match message:
             case Proposal() | ReadRequest():
@@ -88,76 +92,76 @@
                     self._receive_request(message)
             case ProposalReply() | ReadIndexReply():
                 if is_for_me:
-                    outcome = read_outcome(message)
-                    self._requests.settle(message.request_id, outcome)
+                    outcome = decode_outcome(message)
+                    self._pending.resolve(message.request_id, outcome)
             case _:
                 return False
         return True
 
-    def note_output(self, output: Output) -> None:
-        """Take in what a step of the agreement tells about requests."""
+    def handle_output(self, output: Output) -> None:
+        """Track accepted proposals; answer refused requests and ready reads."""
         for accepted in output.accepted:
-            self._requests.note_stored(accepted)
+            self._pending.track_proposal(accepted)
         for origin in output.refused:
-            self._answer(origin, NotStored())
+            self._reply(origin, NotStored())
         for read in output.reads:
-            self._answer(read.origin, Readable(read.index))
+            self._reply(read.origin, ReadIndex(read.index))
 
-    def note_applied(self, entry: LogEntry, reply: bytes) -> None:
-        """Answer whoever proposed an entry, if that is known here."""
-        origin = self._requests.take_applied(entry.index, entry.term)
+    def handle_applied(self, entry: LogEntry, reply: bytes) -> None:
+        """Answer the proposer of an applied entry, if it is known here."""
+        origin = self._pending.pop_proposal(entry.index, entry.term)
         if origin is not None:
-            self._answer(origin, Done(reply))
+            self._reply(origin, Applied(reply))
 
-    def note_other_leader(self) -> None:
-        """Tell all that wait that the former leader's answer is lost."""
-        self._requests.settle_all(Unknown())
-        for origin in self._requests.take_all_stored():
-            self._answer(origin, Unknown())
+    def handle_leader_change(self) -> None:
+        """Fail all pending requests, as the former leader may not answer."""
+        self._pending.resolve_all(OutcomeUnknown())
+        for origin in self._pending.pop_all_proposals():
+            self._reply(origin, OutcomeUnknown())
 
     async def _request(
         self,
         ask: Callable[[int], None],
-        retried: _Outcomes,
+        retried: _OutcomeTypes,
     ) -> RequestOutcome:
         try:
             async with asyncio.timeout(_REPLY_TIMEOUT_S):
-                return await self._ask_until(ask, retried)
+                return await self._send_until_final(ask, retried)
         except TimeoutError:
-            return Unknown()
+            return OutcomeUnknown()
 
-    async def _ask_until(
+    async def _send_until_final(
         self,
         ask: Callable[[int], None],
-        retried: _Outcomes,
+        retried: _OutcomeTypes,
     ) -> RequestOutcome:
         while True:
-            outcome = await self._ask_once(ask)
+            outcome = await self._send_once(ask)
             if not isinstance(outcome, retried):
                 return outcome
             await asyncio.sleep(_RETRY_S)
 
-    async def _ask_once(self, ask: Callable[[int], None]) -> RequestOutcome:
-        is_full = self._requests.stored_count >= _MAX_STORED
+    async def _send_once(self, ask: Callable[[int], None]) -> RequestOutcome:
+        is_full = self._pending.proposal_count >= _MAX_PENDING_PROPOSALS
         if self._state.leader is None or is_full:
             return NotStored()
-        number, future = self._requests.open()
+        number, future = self._pending.create()
         ask(number)
         return await future
 
-    def _ask_to_store(self, number: int, command: bytes) -> None:
-        self._to_leader(
-            Propose(Origin(self._state.me, number), command),
+    def _send_proposal(self, number: int, command: bytes) -> None:
+        self._send_to_leader(
+            Propose(RequestOrigin(self._state.me, number), command),
             Proposal(*self._header(), number, command),
         )
 
-    def _ask_to_read(self, number: int) -> None:
-        self._to_leader(
-            Read(Origin(self._state.me, number)),
+    def _send_read(self, number: int) -> None:
+        self._send_to_leader(
+            Read(RequestOrigin(self._state.me, number)),
             ReadRequest(*self._header(), number),
         )
 
-    def _to_leader(self, event: RaftEvent, message: RaftMessage) -> None:
+    def _send_to_leader(self, event: RaftEvent, message: RaftMessage) -> None:
         leader = self._state.leader
         assert leader is not None
         if leader == self._state.me:
@@ -171,21 +175,21 @@
     ) -> tuple[MemberId, int, int]:
         state = self._state
         receiver = target or state.leader or state.me
-        return state.me, receiver.incarnation, state.hard.term
+        return state.me, receiver.incarnation, state.hard_state.term
 
     def _receive_request(self, message: Proposal | ReadRequest) -> None:
-        origin = Origin(message.sender, message.request_id)
+        origin = RequestOrigin(message.sender, message.request_id)
         if isinstance(message, ReadRequest):
             self._post_event(Read(origin))
-        elif self._requests.stored_count < _MAX_STORED:
+        elif self._pending.proposal_count < _MAX_PENDING_PROPOSALS:
             self._post_event(Propose(origin, message.command))
         else:
-            self._answer(origin, NotStored())
+            self._reply(origin, NotStored())
 
-    def _answer(self, origin: Origin, outcome: RequestOutcome) -> None:
+    def _reply(self, origin: RequestOrigin, outcome: RequestOutcome) -> None:
         if origin.member == self._state.me:
-            self._requests.settle(origin.request_id, outcome)
+            self._pending.resolve(origin.request_id, outcome)
             return
         header = self._header(origin.member)
-        message = write_outcome(header, origin.request_id, outcome)
+        message = encode_outcome(header, origin.request_id, outcome)
         self._post_message(origin.member.name, message)
--- a/src/wigeonreach/agreement/_disk.py
+++ b/src/wigeonreach/agreement/_disk.py
@@ -1,4 +1,4 @@
-"""Reach the files of one data folder."""
+"""File operations in one data folder."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from wigeonreach.codes import ResultCode
 from wigeonreach.exceptions import StateError
 
-_LOCK = 'lock'
+_LOCK_NAME = 'lock'
 
 
 class Disk(Protocol):
-    """File operations of one folder; nothing lasts before its sync.
+    """File operations in one folder; changes are durable only once synced.
 
     Every method may raise ``OSError``.
     """
@@ -24,34 +24,34 @@
         """Return the names of all files."""
 
     def read(self, name: str) -> bytes:
-        """Return a whole file."""
+        """Return the content of a file."""
 
     def append(self, name: str, payload: bytes) -> None:
-        """Write behind the end of a file, which is made if missing."""
+        """Append to a file, which is created if it is missing."""
 
-    def cut(self, name: str, size_bytes: int) -> None:
-        """Shorten a file."""
+    def truncate(self, name: str, size_bytes: int) -> None:
+        """Truncate a file to a size."""
 
     def sync(self, name: str) -> None:
-        """Make a file's content last."""
+        """Make the content of a file durable."""
 
     def rename(self, name: str, new_name: str) -> None:
-        """Rename a file, replacing any of the new name at once."""
+        """Rename a file, atomically replacing one of the new name."""
 
     def remove(self, name: str) -> None:
         """Remove a file."""
 
     def sync_folder(self) -> None:
-        """Make created, renamed and removed names last."""
+        """Make the creation, renaming and removal of files durable."""
 
 
 class FolderDisk:
-    """A folder that one process at a time may use.
+    """A folder of the file system, locked for one process at a time.
 
     Parameters
     ----------
     folder
-        The folder; it is created where it is missing.
+        The folder; it is created if it is missing.
 
     Raises
     ------
@@ -63,32 +63,33 @@
         """Create and lock the folder."""
         folder.mkdir(parents=True, exist_ok=True)
         self._folder = folder
-        # A file is synced through the descriptor that wrote it, since an
-        # error of the disk is told to that one for certain.
+        # A file is synced through the descriptor that wrote it, since only
+        # that descriptor is certain to report a write error of the disk.
         self._descriptors: dict[str, int] = {}
-        self._lock = os.open(folder / _LOCK, os.O_RDWR | os.O_CREAT, 0o600)
+        self._lock = os.open(folder / _LOCK_NAME, os.O_RDWR | os.O_CREAT, 0o600)
         try:
             fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError as error:
             os.close(self._lock)
             raise StateError(
                 ResultCode.STATE_FOLDER_IN_USE,
-                f'{folder}: another process uses it; give each its own',
+                f'{folder}: another process uses this folder; '
+                'give each process its own',
             ) from error
-        _sync_path(folder.parent)
+        _sync_directory(folder.parent)
 
     def names(self) -> set[str]:
-        """Return the names of all files but the lock."""
+        """Return the names of all files except the lock."""
         return {
             path.name for path in self._folder.iterdir() if path.is_file()
-        } - {_LOCK}
+        } - {_LOCK_NAME}
 
     def read(self, name: str) -> bytes:
-        """Return a whole file."""
+        """Return the content of a file."""
         return (self._folder / name).read_bytes()
 
     def append(self, name: str, payload: bytes) -> None:
-        """Write behind the end of a file; on an error cut it back."""
+        """Append to a file; on an error, remove what was written of it."""
         descriptor = self._descriptor(name)
         size_bytes = os.fstat(descriptor).st_size
         rest = memoryview(payload)
@@ -96,35 +97,35 @@
             while rest:
                 rest = rest[os.write(descriptor, rest) :]
         except OSError:
-            _cut_back(descriptor, size_bytes)
+            _undo_partial_append(descriptor, size_bytes)
             raise
 
-    def cut(self, name: str, size_bytes: int) -> None:
-        """Shorten a file."""
+    def truncate(self, name: str, size_bytes: int) -> None:
+        """Truncate a file to a size."""
         os.ftruncate(self._descriptor(name), size_bytes)
 
     def sync(self, name: str) -> None:
-        """Make a file's content last."""
+        """Make the content of a file durable."""
         os.fsync(self._descriptor(name))
 
     def rename(self, name: str, new_name: str) -> None:
-        """Rename a file, replacing any of the new name at once."""
+        """Rename a file, atomically replacing one of the new name."""
         (self._folder / name).replace(self._folder / new_name)
-        self._forget(new_name)
+        self._close_descriptor(new_name)
         if name in self._descriptors:
             self._descriptors[new_name] = self._descriptors.pop(name)
 
     def remove(self, name: str) -> None:
         """Remove a file."""
-        self._forget(name)
+        self._close_descriptor(name)
         (self._folder / name).unlink()
 
     def sync_folder(self) -> None:
-        """Make created, renamed and removed names last."""
-        _sync_path(self._folder)
+        """Make the creation, renaming and removal of files durable."""
+        _sync_directory(self._folder)
 
     def space(self) -> DiskSpace:
-        """Return what is used, and what the disk has left."""
+        """Return the space used by the folder and the free space of its disk."""
         disk = os.statvfs(self._folder)
         used_bytes = sum(
             entry.stat().st_size
@@ -134,9 +135,9 @@
         return DiskSpace(used_bytes, disk.f_bavail * disk.f_frsize)
 
     def close(self) -> None:
-        """Close all files and give the folder up."""
+        """Close all files and release the lock."""
         for name in list(self._descriptors):
-            self._forget(name)
+            self._close_descriptor(name)
         os.close(self._lock)
 
     def _descriptor(self, name: str) -> int:
@@ -147,23 +148,23 @@
             self._descriptors[name] = known
         return known
 
-    def _forget(self, name: str) -> None:
+    def _close_descriptor(self, name: str) -> None:
         descriptor = self._descriptors.pop(name, None)
         if descriptor is not None:
             os.close(descriptor)
 
 
-def _cut_back(descriptor: int, size_bytes: int) -> None:
+def _undo_partial_append(descriptor: int, size_bytes: int) -> None:
     try:
         os.ftruncate(descriptor, size_bytes)
     except OSError as error:
         raise StateError(
             ResultCode.STATE_DISK_FAILED,
-            f'half a write could not be taken back: {error}',
+            f'an incomplete write could not be undone: {error}',
         ) from error
 
 
-def _sync_path(folder: pathlib.Path) -> None:
+def _sync_directory(folder: pathlib.Path) -> None:
     descriptor = os.open(folder, os.O_RDONLY)
     try:
         os.fsync(descriptor)
--- a/src/wigeonreach/agreement/_disk_space.py
+++ b/src/wigeonreach/agreement/_disk_space.py
@@ -1,24 +1,26 @@
-"""Tell in time that a disk is about to be full."""
+"""Detect early that a disk is about to be full."""
 
 from __future__ import annotations
 
 import dataclasses
 
-# A snapshot is written beside the one before and the log, so twice what is used
-# now carries the replica over the next one.
-_ENOUGH_TIMES = 2
-# Logs of a new replica are small; some seconds of work need as much.
-_ENOUGH_BYTES = 8 * 1024 * 1024
+# A snapshot is written before the previous one and the log are removed, so
+# twice the space in use now is enough for the next snapshot.
+_MIN_FREE_TO_USED_RATIO = 2
+# A new replica uses little space, but may write this much within seconds.
+_MIN_FREE_BYTES = 8 * 1024 * 1024
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DiskSpace:
-    """What a replica uses of its disk, and what is left for it.
+    """Space that a replica uses and that its disk has left.
 
     Attributes
     ----------
+    used_bytes
+        Size of the replica's files.
     free_bytes
-        Of the whole disk, whoever fills it.
+        Free space of the whole disk, which other programs may use too.
     """
 
     used_bytes: int
@@ -27,19 +29,19 @@
     @property
     def is_low(self) -> bool:
         """Whether the next snapshot may not fit."""
-        enough = max(self.used_bytes * _ENOUGH_TIMES, _ENOUGH_BYTES)
+        enough = max(self.used_bytes * _MIN_FREE_TO_USED_RATIO, _MIN_FREE_BYTES)
         return self.free_bytes < enough
 
 
 class SpaceWatch:
-    """Tell once when space becomes low, and once when it is back."""
+    """Reports once when space becomes low, and once when it is back."""
 
     def __init__(self) -> None:
-        """Take the space for enough."""
+        """Start under the assumption that there is enough space."""
         self._was_low = False
 
     def note(self, space: DiskSpace) -> bool:
-        """Take what was found; tell whether it is news."""
+        """Record a measurement; return whether ``is_low`` changed."""
         is_news = space.is_low is not self._was_low
         self._was_low = space.is_low
         return is_news
--- a/src/wigeonreach/agreement/_disk_writer.py
+++ b/src/wigeonreach/agreement/_disk_writer.py
@@ -1,4 +1,4 @@
-"""Write in a thread, everything that waits under one sync."""
+"""Write to disk in a thread, with one sync for all queued writes."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 
 
 class DiskWriter(mode.Service):
-    """Hand writes to the storage in the order in which they came.
+    """Passes writes to the storage in the order in which they are posted.
 
     Parameters
     ----------
     storage
-        What it writes to; nothing else uses it meanwhile.
+        Storage to write to; nothing else may use it at the same time.
     on_synced
         Called with the number of the last write that is synced.
     on_failed
-        Called if a sync failed; the process must not go on.
+        Called if a sync failed; the process must then exit.
     logger
         Where events are logged.
     """
@@ -38,24 +38,24 @@
         on_failed: Callable[[Exception], None],
         logger: Logger,
     ) -> None:
-        """Write once started."""
+        """Create a writer; it writes once it is started."""
         super().__init__()
         self._storage = storage
         self._on_synced = on_synced
         self._on_failed = on_failed
         self._log = logger
-        self._waiting: list[Write] = []
+        self._queue: list[Write] = []
         self._has_write = asyncio.Event()
         self._thread = futures.ThreadPoolExecutor(max_workers=1)
 
     async def on_shutdown(self) -> None:
-        """Wait for the write under way; its files are closed after this."""
+        """Wait for the current write, as its files are closed after this."""
         await asyncio.to_thread(self._thread.shutdown)
 
     def post(self, writes: Sequence[Write]) -> None:
-        """Write soon."""
+        """Queue writes."""
         if writes:
-            self._waiting.extend(writes)
+            self._queue.extend(writes)
             self._has_write.set()
 
     @mode.Service.task
@@ -63,8 +63,8 @@
         while not self.should_stop:
             await self._has_write.wait()
             self._has_write.clear()
-            batch = self._waiting
-            self._waiting = []
+            batch = self._queue
+            self._queue = []
             await self._write(batch)
 
     async def _write(self, batch: Sequence[Write]) -> None:
@@ -79,7 +79,8 @@
                 self._on_failed(error)
                 return
             except OSError as error:
-                # Nothing was acknowledged; the others go on meanwhile.
+                # Nothing of this batch was acknowledged, so it can be
+                # retried; the other replicas continue in the meantime.
                 self._log.warning(LogEvent.DISK_REFUSED, reason=str(error))
                 await self.sleep(_RETRY_S)
             else:
--- a/src/wigeonreach/agreement/_links.py
+++ b/src/wigeonreach/agreement/_links.py
@@ -1,4 +1,4 @@
-"""Send messages to the other replicas, dropping what can't be sent."""
+"""Send messages to other replicas; messages that can't be sent are dropped."""
 
 from __future__ import annotations
 
@@ -14,71 +14,71 @@
 from wigeonreach.wire import Channel, Member, connect, parse_address
 from wigeonreach.wire._raft_messages import LinkProbe, RaftMessage
 
-_RETRY_S = 0.1
+_RECONNECT_DELAY_S = 0.1
 _SEND_TIMEOUT_S = 2.0
-# What goes over a link is answered over another one, so only a probe shows
-# that a connection went silent.  Three of them fit into the time after which
-# it is given up, which is about that of an election.
-_PROBE_S = 0.4
-_SILENCE_S = 1.2
-_WAITING_MESSAGES = 512
-# A link to a replica that is gone for good is closed after this.
-_UNUSED_S = 30.0
+# Messages sent over a link are answered over the other replica's own link, so
+# only probes show that a connection went silent.  Three probes fit into the
+# time after which it is closed, which is about an election timeout.
+_PROBE_INTERVAL_S = 0.4
+_SILENCE_TIMEOUT_S = 1.2
+_MAX_QUEUED_MESSAGES = 512
+# Closes links to replicas that are gone for good.
+_IDLE_TIMEOUT_S = 30.0
 
 
 class Link(mode.Service):
-    """One outgoing connection; the agreement repeats what is lost.
+    """Outgoing connection to one replica; Raft resends lost messages.
 
     Parameters
     ----------
     member
-        Where the replica listens.
+        Name and address of the replica.
     logger
         Where events are logged.
     """
 
     def __init__(self, member: Member, logger: Logger) -> None:
-        """Connect once started."""
+        """Create a link; it connects once it is started."""
         super().__init__()
         self._member = member
         self._log = logger
-        self._waiting: collections.deque[RaftMessage] = collections.deque(
-            maxlen=_WAITING_MESSAGES,
+        self._outbox: collections.deque[RaftMessage] = collections.deque(
+            maxlen=_MAX_QUEUED_MESSAGES,
         )
         self._has_message = asyncio.Event()
-        self._is_heard = False
-        self.used_s = time.monotonic()
+        self._is_reachable = False
+        self.last_used_s = time.monotonic()
 
     def post(self, message: RaftMessage) -> None:
-        """Send a message soon; the oldest is dropped if too many wait."""
-        self.used_s = time.monotonic()
-        self._waiting.append(message)
+        """Queue a message; if the queue is full, the oldest is dropped."""
+        self.last_used_s = time.monotonic()
+        self._outbox.append(message)
         self._has_message.set()
 
     @mode.Service.task
     async def _run(self) -> None:
         while not self.should_stop:
             try:
-                await self._send_all()
+                await self._connect_and_send()
             except (WireError, OSError, TimeoutError):
-                self._waiting.clear()
-                await self.sleep(_RETRY_S)
+                self._outbox.clear()
+                await self.sleep(_RECONNECT_DELAY_S)
 
-    async def _send_all(self) -> None:
+    async def _connect_and_send(self) -> None:
         channel = await connect(self._member.address)
         try:
-            await self._use(channel)
+            await self._run_connection(channel)
         except (WireError, OSError, TimeoutError) as error:
-            self._note_lost(str(error) or 'silent')
-            # What still waits to be sent would hold a close up.
+            self._report_unreachable(str(error) or 'silent')
+            # Closing would first wait until all buffered bytes are sent.
             channel.abort()
             raise
         finally:
             await channel.close()
 
-    async def _use(self, channel: Channel) -> None:
-        """Send over a connection until it fails or goes silent."""
-        work = (self._send_over, self._probe, self._listen)
+    async def _run_connection(self, channel: Channel) -> None:
+        """Use a connection until it fails or goes silent."""
+        work = (self._send_queued, self._probe, self._listen)
         tasks = [asyncio.create_task(one(channel)) for one in work]
         try:
             done, _ = await asyncio.wait(
@@ -88,39 +88,39 @@
             for ended in done:
                 ended.result()
         finally:
-            await _cancel_all(tasks)
+            await _cancel_and_wait(tasks)
 
-    async def _send_over(self, channel: Channel) -> None:
+    async def _send_queued(self, channel: Channel) -> None:
         while not self.should_stop:
             await self._has_message.wait()
             self._has_message.clear()
-            while self._waiting:
+            while self._outbox:
                 async with asyncio.timeout(_SEND_TIMEOUT_S):
-                    await channel.send(self._waiting.popleft())
+                    await channel.send(self._outbox.popleft())
 
     async def _probe(self, channel: Channel) -> None:
         while not self.should_stop:
             channel.post(LinkProbe())
-            await asyncio.sleep(_PROBE_S)
+            await asyncio.sleep(_PROBE_INTERVAL_S)
 
     async def _listen(self, channel: Channel) -> None:
         while not self.should_stop:
-            async with asyncio.timeout(_SILENCE_S):
+            async with asyncio.timeout(_SILENCE_TIMEOUT_S):
                 await channel.receive()
-            self._note_heard()
+            self._report_reachable()
 
-    def _note_heard(self) -> None:
-        if not self._is_heard:
-            self._is_heard = True
+    def _report_reachable(self) -> None:
+        if not self._is_reachable:
+            self._is_reachable = True
             self._log.info(
                 LogEvent.FOLLOWER_HEARD,
                 replica=self._member.name,
             )
 
-    def _note_lost(self, reason: str) -> None:
-        # A replica that is gone is tried several times a second.
-        if self._is_heard:
-            self._is_heard = False
+    def _report_unreachable(self, reason: str) -> None:
+        # Logged once, though connecting is retried several times a second.
+        if self._is_reachable:
+            self._is_reachable = False
             self._log.warning(
                 LogEvent.FOLLOWER_LOST,
                 replica=self._member.name,
@@ -128,25 +128,25 @@
             )
 
 
-async def _cancel_all(tasks: Iterable[asyncio.Task[None]]) -> None:
+async def _cancel_and_wait(tasks: Iterable[asyncio.Task[None]]) -> None:
     for task in tasks:
         task.cancel()
     await asyncio.gather(*tasks, return_exceptions=True)
 
 
 class Links(mode.Service):
-    """The outgoing connections, opened when they are first needed.
+    """Links to all other replicas, each opened when it is first needed.
 
     Parameters
     ----------
     members
-        Replicas with names of their own; any other is named by its address.
+        Replicas known by name; the name of any other is its address.
     logger
         Where events are logged.
     """
 
     def __init__(self, members: Iterable[Member], logger: Logger) -> None:
-        """Connect to nobody yet."""
+        """Create an empty set of links."""
         super().__init__()
         self._log = logger
         self._members = {member.name: member for member in members}
@@ -154,7 +154,7 @@
         self._opening: set[asyncio.Task[object]] = set()
 
     def post(self, name: str, message: RaftMessage) -> None:
-        """Send a message soon, if the replica can be addressed."""
+        """Queue a message, if the replica's address is known."""
         link = self._links.get(name) or self._open(name)
         if link is not None:
             link.post(message)
@@ -164,11 +164,11 @@
         for link in self._links.values():
             await link.stop()
 
-    @mode.Service.timer(_UNUSED_S)
+    @mode.Service.timer(_IDLE_TIMEOUT_S)
     async def _close_unused(self) -> None:
-        oldest_s = time.monotonic() - _UNUSED_S
+        oldest_s = time.monotonic() - _IDLE_TIMEOUT_S
         for name, link in list(self._links.items()):
-            if link.used_s < oldest_s:
+            if link.last_used_s < oldest_s:
                 self._links.pop(name)
                 await link.stop()
 
--- a/src/wigeonreach/agreement/_opening.py
+++ b/src/wigeonreach/agreement/_opening.py
@@ -1,8 +1,8 @@
-"""Open a replica's data folder."""
+"""Open the data folder of a replica."""
 
 from __future__ import annotations
 
-from wigeonreach.agreement._storage import Storage, Stored
+from wigeonreach.agreement._storage import Storage, StoredState
 from wigeonreach.codes import ResultCode
 from wigeonreach.exceptions import StateError
 from wigeonreach.observe import LogEvent, Logger
@@ -13,36 +13,37 @@
     has_peers: bool,
     logger: Logger,
     may_found: bool = True,
-) -> Stored:
-    """Load what is stored; set damaged files aside if peers have it all.
+) -> StoredState:
+    """Load the stored state; reset a damaged folder if there are peers.
 
     Parameters
     ----------
     storage
-        The folder.
+        Storage in the folder.
     has_peers
         Whether other replicas can bring this one up to date.
     logger
         Where events are logged.
     may_found
-        Whether an empty folder may belong to a system that never ran.
+        Whether an empty folder may belong to a cluster that was never
+        bootstrapped.
 
     Returns
     -------
-    Stored
-        What is stored, or a new disk without a vote.
+    StoredState
+        The stored state, or that of a new replica without a vote.
 
     Raises
     ------
     StateError
-        If the disk refuses, or the folder is damaged and there is no peer.
+        If the disk fails, or the folder is damaged and there are no peers.
     """
     try:
         stored = storage.load(may_found)
     except OSError as error:
         raise StateError(
             ResultCode.STATE_DISK_FAILED,
-            f'the data folder can not be opened: {error}',
+            f'the data folder cannot be opened: {error}',
         ) from error
     except StateError as error:
         if error.code is not ResultCode.STATE_DAMAGED:
@@ -54,7 +55,7 @@
         )
         if not has_peers:
             raise
-        return storage.set_aside()
+        return storage.move_damaged_files()
     if stored.torn_bytes:
         logger.warning(
             LogEvent.JOURNAL_TAIL_CUT,
--- a/src/wigeonreach/agreement/_outcomes.py
+++ b/src/wigeonreach/agreement/_outcomes.py
@@ -1,13 +1,13 @@
-"""Tell another replica what became of its request."""
+"""Convert outcomes of requests to messages between replicas and back."""
 
 from __future__ import annotations
 
 from wigeonreach.agreement._requests import (
-    Done,
+    Applied,
     NotStored,
-    Readable,
+    ReadIndex,
     RequestOutcome,
-    Unknown,
+    OutcomeUnknown,
 )
 from wigeonreach.codes import ResultCode
 from wigeonreach.wire._raft_messages import (
@@ -18,37 +18,37 @@
 )
 
 
-def read_outcome(message: ProposalReply | ReadIndexReply) -> RequestOutcome:
-    """Return the outcome that a leader tells."""
+def decode_outcome(message: ProposalReply | ReadIndexReply) -> RequestOutcome:
+    """Return the outcome that a leader's reply carries."""
     if isinstance(message, ProposalReply):
         if message.code == ResultCode.OK:
-            return Done(message.reply)
-        return Unknown()
+            return Applied(message.reply)
+        return OutcomeUnknown()
     if message.index < 0:
         return NotStored()
-    return Readable(message.index)
+    return ReadIndex(message.index)
 
 
-def write_outcome(
+def encode_outcome(
     header: tuple[MemberId, int, int],
     request_id: int,
     outcome: RequestOutcome,
 ) -> RaftMessage:
-    """Return the message that tells an outcome.
+    """Return the message that carries an outcome.
 
     Parameters
     ----------
     header
         Sender, incarnation of the receiver, and term.
     request_id
-        The receiver's number of the request.
+        Number of the request, assigned by the receiver.
     outcome
-        What became of it.
+        Outcome of the request.
     """
     match outcome:
-        case Readable(index=index):
+        case ReadIndex(index=index):
             return ReadIndexReply(*header, request_id, index)
-        case Done(reply=reply):
+        case Applied(reply=reply):
             return ProposalReply(*header, request_id, ResultCode.OK, '', reply)
         case NotStored():
             return ReadIndexReply(*header, request_id, -1)
--- a/src/wigeonreach/agreement/_raft.py
+++ b/src/wigeonreach/agreement/_raft.py
@@ -1,4 +1,4 @@
-"""Agree on a log: events in; writes, messages and entries out, no I/O."""
+"""Raft core without I/O: takes events, returns writes, messages and entries."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 from wigeonreach.agreement import _raft_transfer as transfer
 from wigeonreach.agreement._raft_state import RaftState
 from wigeonreach.agreement._raft_types import (
-    DiskDone,
-    HandOver,
+    WritesSynced,
+    TransferLeadership,
     Output,
-    PeersKnown,
+    PeersDiscovered,
     Propose,
     RaftEvent,
     RaftSettings,
@@ -27,7 +27,7 @@
     SnapshotTaken,
     Tick,
 )
-from wigeonreach.agreement._storage import Stored
+from wigeonreach.agreement._storage import StoredState
 from wigeonreach.wire._raft_messages import (
     AppendEntries,
     AppendReply,
@@ -42,18 +42,19 @@
 
 
 class Raft:
-    """The agreement of one replica.
+    """Raft core of one replica.
 
     Parameters
     ----------
     name
         Name of this replica.
     names
-        Names of all replicas; the first one founds the agreement.
+        Names of all configured replicas; the first one bootstraps the
+        cluster.
     stored
-        What its data folder holds.
+        State stored in the data folder.
     settings
-        Times and sizes.
+        Timeouts and size limits.
     rng
         Source of the randomised timeouts.
     """
@@ -62,18 +63,18 @@
         self,
         name: str,
         names: Sequence[str],
-        stored: Stored,
+        stored: StoredState,
         settings: RaftSettings,
         rng: random.Random,
     ) -> None:
-        """Start from what is stored; nothing is sent before a step."""
+        """Start from the stored state; nothing is sent before a step."""
         applied_index = stored.snapshot.index if stored.snapshot else 0
         self.state = RaftState(
-            names=tuple(names),
+            replica_names=tuple(names),
             name=name,
             settings=settings,
             rng=rng,
-            hard=stored.hard,
+            hard_state=stored.hard,
             log=stored.log,
             snapshot=stored.snapshot,
             commit_index=max(applied_index, stored.commit_index),
@@ -83,49 +84,50 @@
         self._is_started = False
 
     def step(self, events: Iterable[RaftEvent], now_s: float) -> Output:
-        """Take events in and return their effects.
+        """Process events and return their effects.
 
         Parameters
         ----------
         events
-            What happened since the last step, in order.
+            Events since the last step, in order.
         now_s
             Monotonic clock in seconds.
 
         Returns
         -------
         Output
-            Effects; messages may leave at once, also before the writes are
-            synced.
+            The effects.  Messages may be sent at once, even before the writes
+            are synced: those that depend on a write are held back until a
+            later step reports it synced.
         """
         state = self.state
         state.now_s = now_s
         if not self._is_started:
             self._is_started = True
-            state.follow_voters()
-            state.hasten_election()
+            state.update_voter_role()
+            state.set_short_election_timer()
         for event in events:
             _on_event(event, state)
-        _finish(state)
+        _finish_step(state)
         output = state.output
         state.output = Output()
         return output
 
 
-def _finish(state: RaftState) -> None:
-    lead = state.leading
+def _finish_step(state: RaftState) -> None:
+    lead = state.leader_state
     if lead is not None:
-        state.follow_voters()
+        state.update_voter_role()
         leading.advance_commit(state)
-        reads.confirm(state)
-    if state.leading is not None and lead is not None:
+        reads.complete_confirmed(state)
+    if state.leader_state is not None and lead is not None:
         if state.now_s >= lead.heartbeat_due_s:
             leading.send_to_all(state)
-        leading.send_new(state)
-    _apply(state)
+        leading.send_new_entries(state)
+    _emit_committed(state)
 
 
-def _apply(state: RaftState) -> None:
+def _emit_committed(state: RaftState) -> None:
     if state.applied_index < state.commit_index:
         first_index = state.applied_index + 1
         state.output.committed.extend(
@@ -141,31 +143,33 @@
 
 @_on_event.register
 def _on_tick(event: Tick, state: RaftState) -> None:
-    state.mark_commit()
+    state.store_commit_index_if_due()
     if state.role is Role.LEADER:
         leading.on_tick(state)
     elif state.is_voter:
         if state.now_s >= state.election_due_s:
-            election.start_trial(state)
+            election.start_pre_vote(state)
     elif state.now_s >= state.join_due_s:
         members.ask_to_join(state)
 
 
 @_on_event.register
-def _on_disk_done(event: DiskDone, state: RaftState) -> None:
-    state.output.messages.extend(state.note_synced(event.number))
+def _on_writes_synced(event: WritesSynced, state: RaftState) -> None:
+    state.output.messages.extend(state.release_synced(event.number))
     election.on_own_vote_synced(state)
-    following.on_synced(state)
+    following.on_writes_synced(state)
 
 
 @_on_event.register
-def _on_hand_over(event: HandOver, state: RaftState) -> None:
-    leading.hand_over(state)
+def _on_transfer_leadership(
+    event: TransferLeadership, state: RaftState
+) -> None:
+    leading.transfer_leadership(state)
 
 
 @_on_event.register
-def _on_peers_known(event: PeersKnown, state: RaftState) -> None:
-    state.contacts = event.names
+def _on_peers_discovered(event: PeersDiscovered, state: RaftState) -> None:
+    state.known_peers = event.names
 
 
 @_on_event.register
@@ -180,7 +184,7 @@
 
 @_on_event.register
 def _on_snapshot_taken(event: SnapshotTaken, state: RaftState) -> None:
-    transfer.take(state, event.index, event.state)
+    transfer.store_snapshot(state, event.index, event.state)
 
 
 @_on_event.register
--- a/src/wigeonreach/agreement/_raft_election.py
+++ b/src/wigeonreach/agreement/_raft_election.py
@@ -1,4 +1,4 @@
-"""Elect a leader, after a trial that shows that it could win."""
+"""Elect a leader, after a pre-vote that shows that the candidate can win."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 from wigeonreach.wire._raft_messages import LeadNow, VoteReply, VoteRequest
 
 
-def start_trial(state: RaftState) -> None:
+def start_pre_vote(state: RaftState) -> None:
     """Ask the other voters whether they would vote for this replica.
 
-    A replica that was cut off learns so that it can't win, and does not
-    depose a leader by a newer term when it comes back.
+    A replica that was partitioned thus learns that it can't win, and does not
+    depose the leader with a higher term when it comes back.
     """
     state.change_role(RoleEvent.ELECTION_DUE)
     state.leader = None
-    state.delay_election()
+    state.reset_election_timer()
     state.votes = {state.me}
     if state.is_quorum(state.votes):
         _start_election(state)
@@ -26,46 +26,46 @@
 
 
 def on_lead_now(state: RaftState, message: LeadNow) -> None:
-    """Be elected at once, as the leader of this term asks.
+    """Start an election at once, as the leader of this term requests.
 
-    No trial is needed: the leader itself gives its place away, and the vote
-    shows whether this log has all that is committed.
+    No pre-vote is needed: the leader itself gives up leadership, and the vote
+    shows whether this log holds all committed entries.
     """
-    is_current = message.term == state.hard.term
-    if is_current and state.is_voter and state.leading is None:
+    is_current = message.term == state.hard_state.term
+    if is_current and state.is_voter and state.leader_state is None:
         state.change_role(RoleEvent.ELECTION_DUE)
         state.leader = None
         _start_election(state)
 
 
 def on_vote_request(state: RaftState, request: VoteRequest) -> None:
-    """Give a vote to a candidate that has all that is stored here."""
+    """Vote for a candidate whose log is at least as up to date as this one."""
     if request.is_trial:
-        members.note_campaign(state, request.sender)
-        _answer_trial(state, request)
+        members.add_campaigning_learner(state, request.sender)
+        _answer_pre_vote(state, request)
         return
-    state.see_term(request.term)
-    is_granted = _may_vote(state, request)
+    state.observe_term(request.term)
+    is_granted = _can_grant_vote(state, request)
     if is_granted:
-        state.write_hard(request.term, request.sender)
-        state.delay_election()
-    _answer(state, request, is_granted)
+        state.write_hard_state(request.term, request.sender)
+        state.reset_election_timer()
+    _send_vote_reply(state, request, is_granted)
 
 
 def on_vote_reply(state: RaftState, reply: VoteReply) -> None:
     """Count a vote."""
     if reply.is_trial and reply.is_granted:
-        _count_trial(state, reply)
+        _count_pre_vote(state, reply)
         return
-    state.see_term(reply.term)
-    is_current = reply.term == state.hard.term
+    state.observe_term(reply.term)
+    is_current = reply.term == state.hard_state.term
     if reply.is_granted and is_current and state.role is Role.CANDIDATE:
         state.votes.add(reply.sender)
         _lead_if_elected(state)
 
 
 def on_own_vote_synced(state: RaftState) -> None:
-    """Count the own vote once it can't be forgotten."""
+    """Count the replica's own vote once it is synced."""
     is_synced = all(
         pending.write.hard is None for pending in state.unsynced.values()
     )
@@ -74,37 +74,45 @@
         _lead_if_elected(state)
 
 
-def _answer_trial(state: RaftState, request: VoteRequest) -> None:
-    silence_s = state.now_s - state.heard_leader_s
+def _answer_pre_vote(state: RaftState, request: VoteRequest) -> None:
+    silence_s = state.now_s - state.last_heard_leader_s
     has_leader = (
         state.role is Role.LEADER or silence_s < state.settings.election_min_s
     )
-    is_behind = state.log.is_newer_than(request.last_index, request.last_term)
+    is_behind = state.log.is_more_up_to_date_than(
+        request.last_index, request.last_term
+    )
     is_granted = (
-        request.term > state.hard.term and not has_leader and not is_behind
+        request.term > state.hard_state.term
+        and not has_leader
+        and not is_behind
     )
-    _answer(state, request, is_granted)
+    _send_vote_reply(state, request, is_granted)
 
 
-def _may_vote(state: RaftState, request: VoteRequest) -> bool:
-    is_free = state.hard.vote in {None, request.sender}
-    is_behind = state.log.is_newer_than(request.last_index, request.last_term)
-    return request.term == state.hard.term and is_free and not is_behind
+def _can_grant_vote(state: RaftState, request: VoteRequest) -> bool:
+    is_free = state.hard_state.vote in {None, request.sender}
+    is_behind = state.log.is_more_up_to_date_than(
+        request.last_index, request.last_term
+    )
+    return request.term == state.hard_state.term and is_free and not is_behind
 
 
-def _answer(state: RaftState, request: VoteRequest, is_granted: bool) -> None:
+def _send_vote_reply(
+    state: RaftState, request: VoteRequest, is_granted: bool
+) -> None:
     reply = VoteReply(
         sender=state.me,
         target_incarnation=request.sender.incarnation,
-        term=request.term if is_granted else state.hard.term,
+        term=request.term if is_granted else state.hard_state.term,
         is_trial=request.is_trial,
         is_granted=is_granted,
     )
     state.send_synced(request.sender, reply)
 
 
-def _count_trial(state: RaftState, reply: VoteReply) -> None:
-    is_current = reply.term == state.hard.term + 1
+def _count_pre_vote(state: RaftState, reply: VoteReply) -> None:
+    is_current = reply.term == state.hard_state.term + 1
     if is_current and state.role is Role.PRE_CANDIDATE:
         state.votes.add(reply.sender)
         if state.is_quorum(state.votes):
@@ -113,17 +121,18 @@
 
 def _start_election(state: RaftState) -> None:
     state.change_role(RoleEvent.PRE_VOTE_WON)
-    state.write_hard(state.hard.term + 1, state.me)
+    state.write_hard_state(state.hard_state.term + 1, state.me)
     state.verified_index = 0
-    # The trial showed that nobody has a leader: if the votes are split, there is
-    # nothing to wait for.  Beside a full disk that took a second more.
-    state.hasten_election()
+    # The pre-vote showed that no voter has a leader, so after a split vote the
+    # next election need not wait for one.  With the full timeout, an election
+    # next to a replica with a full disk took a second longer.
+    state.set_short_election_timer()
     state.votes = set()
     _request_votes(state, is_trial=False)
 
 
 def _request_votes(state: RaftState, is_trial: bool) -> None:
-    term = state.hard.term + 1 if is_trial else state.hard.term
+    term = state.hard_state.term + 1 if is_trial else state.hard_state.term
     for voter in state.log.voters:
         if voter == state.me:
             continue
@@ -141,4 +150,4 @@
 def _lead_if_elected(state: RaftState) -> None:
     if state.is_quorum(state.votes):
         state.change_role(RoleEvent.VOTE_WON)
-        leading.start(state)
+        leading.become_leader(state)
--- a/src/wigeonreach/agreement/_raft_following.py
+++ b/src/wigeonreach/agreement/_raft_following.py
@@ -1,4 +1,4 @@
-"""Store what the leader sends."""
+"""Store the entries that the leader sends."""
 
 from __future__ import annotations
 
@@ -11,60 +11,65 @@
 )
 
 
-def hear_leader(state: RaftState, leader: MemberId, term: int) -> bool:
-    """Follow the sender of a leader's message.
+def accept_leader(state: RaftState, leader: MemberId, term: int) -> bool:
+    """Follow the sender of a message that only a leader sends.
 
     Returns
     -------
     bool
-        False if its term is over; it is told so by the reply.
+        False if the message is from an older term; the caller's reply then
+        informs the sender of the newer one.
     """
-    state.see_term(term)
-    if term < state.hard.term:
+    state.observe_term(term)
+    if term < state.hard_state.term:
         return False
     state.change_role(RoleEvent.LEADER_HEARD)
     if state.leader != leader:
         state.leader = leader
         state.verified_index = 0
-    state.heard_leader_s = state.now_s
-    state.delay_election()
+    state.last_heard_leader_s = state.now_s
+    state.reset_election_timer()
     return True
 
 
 def on_append(state: RaftState, message: AppendEntries) -> None:
-    """Store entries that follow what is here, and tell what is synced."""
-    if not hear_leader(state, message.sender, message.term):
-        reply(state, message.sender, message.heartbeat_round, is_accepted=False)
+    """Store entries if the log matches the entry before them, and reply."""
+    if not accept_leader(state, message.sender, message.term):
+        send_append_reply(
+            state, message.sender, message.heartbeat_round, is_accepted=False
+        )
         return
-    if not _follows(state, message):
-        _refuse(state, message)
+    if not _matches_previous_entry(state, message):
+        _reject(state, message)
         return
     fresh = state.log.store(message.entries)
     if fresh:
         state.synced_index = min(state.synced_index, fresh[0].index - 1)
         state.write(entries=tuple(fresh))
-        state.follow_voters()
+        state.update_voter_role()
     end = message.previous_index + len(message.entries)
     state.verified_index = max(state.verified_index, end)
     reachable = min(message.commit_index, state.verified_index)
     state.commit_index = max(state.commit_index, reachable)
-    reply(state, message.sender, message.heartbeat_round, is_accepted=True)
+    send_append_reply(
+        state, message.sender, message.heartbeat_round, is_accepted=True
+    )
 
 
-def reply(
+def send_append_reply(
     state: RaftState,
     leader: MemberId,
     heartbeat_round: int,
     is_accepted: bool,
 ) -> None:
-    """Tell a leader how far the synced log agrees with its own."""
+    """Tell a leader up to which index the synced log matches its own."""
     match_index = min(state.verified_index, state.synced_index)
     state.send(
         leader,
         AppendReply(
             sender=state.me,
             target_incarnation=leader.incarnation,
-            term=state.hard.term,
+            term=state.hard_state.term,
             is_accepted=is_accepted,
             match_index=match_index,
             heartbeat_round=heartbeat_round,
@@ -72,24 +77,24 @@
     )
 
 
-def on_synced(state: RaftState) -> None:
-    """Tell the leader once what it sent is synced."""
+def on_writes_synced(state: RaftState) -> None:
+    """Tell the leader that entries are synced."""
     leader = state.leader
     if leader is not None and leader != state.me:
-        reply(state, leader, heartbeat_round=0, is_accepted=True)
+        send_append_reply(state, leader, heartbeat_round=0, is_accepted=True)
 
 
-def _follows(state: RaftState, message: AppendEntries) -> bool:
-    # Entries up to the base are committed, so they agree.
+def _matches_previous_entry(state: RaftState, message: AppendEntries) -> bool:
+    # Entries up to the base index are committed, so they match.
     if message.previous_index < state.log.base_index:
         return True
     known_term = state.log.term_at(message.previous_index)
     return known_term == message.previous_term
 
 
-def _refuse(state: RaftState, message: AppendEntries) -> None:
+def _reject(state: RaftState, message: AppendEntries) -> None:
     hint = min(state.log.last_index, message.previous_index)
-    # One refusal skips a whole term of entries that the leader lacks.
+    # One rejection skips all entries of a term that the leader does not have.
     wrong_term = state.log.term_at(hint)
     if message.previous_index <= state.log.last_index:
         while (
@@ -101,7 +106,7 @@
         AppendReply(
             sender=state.me,
             target_incarnation=message.sender.incarnation,
-            term=state.hard.term,
+            term=state.hard_state.term,
             is_accepted=False,
             match_index=hint,
             heartbeat_round=message.heartbeat_round,
--- a/src/wigeonreach/agreement/_raft_log.py
+++ b/src/wigeonreach/agreement/_raft_log.py
@@ -1,4 +1,4 @@
-"""Keep the entries behind the last snapshot in memory."""
+"""The Raft log in memory, without the entries removed by compaction."""
 
 from __future__ import annotations
 
@@ -11,29 +11,29 @@
 
 Voters = tuple[MemberId, ...]
 _MAX_BATCH_ENTRIES = 1024
-_VOTERS = msgspec.msgpack.Decoder(Voters)
+_VOTERS_DECODER = msgspec.msgpack.Decoder(Voters)
 
 
 def encode_voters(voters: Voters) -> bytes:
-    """Return the command of an entry that changes the voters."""
+    """Return the command of an entry that sets the voters."""
     return msgspec.msgpack.encode(voters)
 
 
 @dataclasses.dataclass(slots=True)
 class RaftLog:
-    """Entries after ``base_index``, which a snapshot covers."""
+    """Entries after ``base_index``; a snapshot covers those up to it."""
 
     base_index: int = 0
     base_term: int = 0
     base_voters: Voters = ()
     entries: list[LogEntry] = dataclasses.field(default_factory=list)
-    _voters: list[tuple[int, Voters]] = dataclasses.field(
+    _voter_changes: list[tuple[int, Voters]] = dataclasses.field(
         default_factory=list,
     )
 
     def __post_init__(self) -> None:
-        """Find the changes of voters among the entries."""
-        self._note_voters(self.entries)
+        """Index the entries that change the voters."""
+        self._record_voter_changes(self.entries)
 
     @property
     def last_index(self) -> int:
@@ -47,25 +47,33 @@
 
     @property
     def voters(self) -> Voters:
-        """The newest voters, which count from when they are stored."""
-        return self._voters[-1][1] if self._voters else self.base_voters
+        """The newest voters, in effect as soon as their entry is stored."""
+        return (
+            self._voter_changes[-1][1]
+            if self._voter_changes
+            else self.base_voters
+        )
 
     @property
     def voters_index(self) -> int:
-        """Index of the entry that made them."""
-        return self._voters[-1][0] if self._voters else self.base_index
+        """Index of the entry that set the newest voters."""
+        return (
+            self._voter_changes[-1][0]
+            if self._voter_changes
+            else self.base_index
+        )
 
     def voters_at(self, index: int) -> Voters:
-        """Return who votes after an entry."""
+        """Return the voters that an entry and those before it set."""
         known = self.base_voters
-        for changed_index, voters in self._voters:
+        for changed_index, voters in self._voter_changes:
             if changed_index > index:
                 break
             known = voters
         return known
 
     def term_at(self, index: int) -> int | None:
-        """Return the term of an entry, or None if it is not here."""
+        """Return the term of an entry, or None if the log lacks it."""
         if index == self.base_index:
             return self.base_term
         if self.base_index < index <= self.last_index:
@@ -73,12 +81,16 @@
         return None
 
     def between(self, first_index: int, last_index: int) -> list[LogEntry]:
-        """Return entries, both ends included."""
+        """Return the entries from one index to another, both included."""
         start = first_index - self.base_index - 1
         return self.entries[start : last_index - self.base_index]
 
     def batch(self, first_index: int, limit_bytes: int) -> Sequence[LogEntry]:
-        """Return entries from an index on: one at least, up to a size."""
+        """Return entries from an index on, limited by size.
+
+        The result holds at least one entry, even one above the limit, unless
+        there are none.
+        """
         total_bytes = 0
         taken: list[LogEntry] = []
         start = first_index - self.base_index - 1
@@ -89,29 +101,34 @@
             taken.append(entry)
         return taken
 
-    def is_newer_than(self, last_index: int, last_term: int) -> bool:
-        """Whether this log has something that another may lack."""
+    def is_more_up_to_date_than(self, last_index: int, last_term: int) -> bool:
+        """Whether this log is more up to date than another.
+
+        The log whose last entry has the higher term, or the higher index in
+        the same term, is more up to date; it may hold committed entries that
+        the other lacks.
+        """
         return (self.last_term, self.last_index) > (last_term, last_index)
 
     def store(self, entries: Sequence[LogEntry]) -> Sequence[LogEntry]:
-        """Take a leader's entries; return those that were not here.
+        """Store entries of a leader; return those that the log lacked.
 
-        The first entry follows one that is here.  A conflicting one and all
-        behind it are dropped.
+        The entry before the first one must be in the log.  A conflicting
+        entry and all after it are removed.
         """
         for place, entry in enumerate(entries):
             if entry.index <= self.base_index:
                 continue
             if self.term_at(entry.index) != entry.term:
                 fresh = entries[place:]
-                self._drop_from(entry.index)
+                self._truncate_from(entry.index)
                 self.entries.extend(fresh)
-                self._note_voters(fresh)
+                self._record_voter_changes(fresh)
                 return fresh
         return ()
 
     def compact(self, index: int) -> None:
-        """Forget the entries up to an index."""
+        """Discard the entries up to an index."""
         if index <= self.base_index:
             return
         term = self.term_at(index)
@@ -120,15 +137,19 @@
         self.entries = self.entries[index - self.base_index :]
         self.base_index = index
         self.base_term = term
-        self._voters = [change for change in self._voters if change[0] > index]
+        self._voter_changes = [
+            change for change in self._voter_changes if change[0] > index
+        ]
 
-    def _drop_from(self, index: int) -> None:
+    def _truncate_from(self, index: int) -> None:
         del self.entries[index - self.base_index - 1 :]  # noqa: WPS420
-        self._voters = [change for change in self._voters if change[0] < index]
+        self._voter_changes = [
+            change for change in self._voter_changes if change[0] < index
+        ]
 
-    def _note_voters(self, entries: Iterable[LogEntry]) -> None:
+    def _record_voter_changes(self, entries: Iterable[LogEntry]) -> None:
         for entry in entries:
             if entry.kind is EntryKind.VOTERS:
-                self._voters.append(
-                    (entry.index, _VOTERS.decode(entry.command)),
+                self._voter_changes.append(
+                    (entry.index, _VOTERS_DECODER.decode(entry.command)),
                 )
--- a/src/wigeonreach/agreement/_raft_members.py
+++ b/src/wigeonreach/agreement/_raft_members.py
@@ -1,10 +1,10 @@
-"""Found the agreement once, and count repaired replicas again.
+"""Cluster membership: bootstrap the cluster, replace and add voters.
 
-The voters are disks, not names.  A replica whose folder is empty is a new
-disk: it asks to join, the leader brings it up to date, and only then is the
-lost disk taken out of the voters and, in a second entry, the new one put in.
-Each step changes the voters by one, so that majorities before and after it
-always share a voter.
+A voter is a replica together with its disk, not a name.  A replica whose data
+folder is empty has a new disk: it asks to join, and the leader brings it up to
+date as a learner.  Only then does one entry remove the lost disk from the
+voters, and a second entry add the new one.  Each entry changes the voters by
+one, so that majorities before and after it always share a voter.
 """
 
 from __future__ import annotations
@@ -18,114 +18,124 @@
 
 
 def ask_to_join(state: RaftState) -> None:
-    """Tell all others that this replica has no vote."""
+    """Ask all known replicas to let this one join, as it has no vote."""
     state.join_due_s = state.now_s + state.settings.join_s
-    for name in sorted({*state.names, *state.contacts, *_voter_names(state)}):
+    for name in sorted(
+        {*state.replica_names, *state.known_peers, *_voter_names(state)}
+    ):
         if name == state.name:
             continue
-        known = state.joins.get(name)
+        known = state.joining_members.get(name)
         target = known or MemberId(name, 0)
         join = Join(
             sender=state.me,
             target_incarnation=target.incarnation,
-            term=state.hard.term,
+            term=state.hard_state.term,
             is_blank=state.is_blank,
         )
         state.send(target, join)
-    found_if_all_blank(state)
+    bootstrap_if_all_blank(state)
 
 
 def on_join(state: RaftState, join: Join) -> None:
-    """Take a replica without a vote up as a learner."""
+    """Register a replica without a vote; on the leader, add it as a learner."""
     is_open = state.settings.voter_target > 0
-    if not is_open and join.sender.name not in state.names:
+    if not is_open and join.sender.name not in state.replica_names:
         return
-    state.joins[join.sender.name] = join.sender
-    # A blank join counts only if it was sent after the sender heard of this
-    # very disk: one from before it was lost tells nothing.
+    state.joining_members[join.sender.name] = join.sender
+    # A blank join counts only if the sender addressed it to this disk.  One
+    # that was sent before this replica lost its disk proves nothing, since
+    # the cluster may have been bootstrapped with the lost disk.
     if join.is_blank and join.target_incarnation == state.me.incarnation:
-        state.blank_joins.add(join.sender)
+        state.blank_members.add(join.sender)
     else:
-        state.blank_joins.discard(join.sender)
-    if state.leading is not None:
-        _add_learner(state, state.leading, join.sender)
-    found_if_all_blank(state)
+        state.blank_members.discard(join.sender)
+    if state.leader_state is not None:
+        _add_learner(state, state.leader_state, join.sender)
+    bootstrap_if_all_blank(state)
 
 
-def note_campaign(state: RaftState, candidate: MemberId) -> None:
-    """Bring a replica up to date that lost its vote while it was silent.
+def add_campaigning_learner(state: RaftState, candidate: MemberId) -> None:
+    """Add a replica as a learner that lost its vote while it was silent.
 
-    It does not know that it has none, so it asks for votes instead of asking to
-    join, for ever: a frozen or cut off voter in whose place another one was put
-    would be lost for good.
+    Such a replica was frozen or partitioned while another voter replaced it.
+    It does not know that it has no vote, so it keeps asking for votes instead
+    of asking to join, and would never come back otherwise.
     """
-    if state.leading is not None and state.settings.voter_target:
-        _add_learner(state, state.leading, candidate)
+    if state.leader_state is not None and state.settings.voter_target:
+        _add_learner(state, state.leader_state, candidate)
 
 
-def found_if_all_blank(state: RaftState) -> None:
-    """Make all replicas voters if none of them ever took part in anything.
+def bootstrap_if_all_blank(state: RaftState) -> None:
+    """Bootstrap the cluster if all configured replicas are blank.
 
-    Only the first of the configured names does this, so that there is one
-    founding; its entry is not committed before a quorum stored it.
+    Only the replica whose name is configured first does this, so that the
+    cluster is bootstrapped once.  The entry that makes all replicas voters is
+    committed once a quorum has stored it.
     """
-    if not state.is_blank or state.name != state.names[0]:
+    if not state.is_blank or state.name != state.replica_names[0]:
         return
     others = [
-        state.joins.get(name) for name in state.names if name != state.name
+        state.joining_members.get(name)
+        for name in state.replica_names
+        if name != state.name
     ]
-    blank = [member for member in others if member in state.blank_joins]
+    blank = [member for member in others if member in state.blank_members]
     if len(blank) < len(others):
         return
     voters = tuple(sorted((state.me, *filter(None, blank))))
-    state.write_hard(_FIRST_TERM, state.me)
+    state.write_hard_state(_FIRST_TERM, state.me)
     state.append(EntryKind.VOTERS, encode_voters(voters))
     state.change_role(RoleEvent.BECAME_VOTER)
     state.election_due_s = state.now_s
 
 
-def note_progress(state: RaftState, progress: Progress) -> None:
-    """Judge whether a learner keeps up.
+def update_caught_up(state: RaftState, progress: Progress) -> None:
+    """Check whether a learner has caught up with the log.
 
-    The log grows meanwhile; it is caught up when it covers what had gathered
-    during one round within the time of one election.
+    The log grows in the meantime, so catching up takes rounds: in each, the
+    learner replicates the entries that existed when the round began.  It has
+    caught up after a round that took at most the election timeout.
     """
-    if progress.match_index < progress.goal_index:
+    if progress.match_index < progress.catch_up_index:
         return
-    taken_s = state.now_s - progress.goal_since_s
+    taken_s = state.now_s - progress.catch_up_started_s
     progress.is_caught_up = taken_s <= state.settings.election_min_s
-    progress.goal_index = state.log.last_index
-    progress.goal_since_s = state.now_s
+    progress.catch_up_index = state.log.last_index
+    progress.catch_up_started_s = state.now_s
 
 
-def forget_silent_learners(state: RaftState) -> None:
-    """Send nothing more to replicas without a vote that are gone."""
-    lead = state.leading
+def drop_silent_learners(state: RaftState) -> None:
+    """Stop replicating to learners that have been silent for too long."""
+    lead = state.leader_state
     if lead is None:
         return
     oldest_s = state.now_s - state.settings.forget_learner_s
     for learner in _learners(state, lead):
-        if lead.progress[learner].heard_s < oldest_s:
+        if lead.progress[learner].last_heard_s < oldest_s:
             lead.progress.pop(learner)
 
 
-def admit_caught_up(state: RaftState) -> None:
-    """Change the voters by one step towards a caught up learner."""
-    lead = state.leading
-    if lead is None or not _may_change(state, lead):
+def promote_caught_up(state: RaftState) -> None:
+    """Change the voters by one, so that a learner that caught up can vote.
+
+    Nothing is changed while an earlier change is not committed.
+    """
+    lead = state.leader_state
+    if lead is None or not _can_change_voters(state, lead):
         return
-    if _drop_spare_voter(state, lead):
+    if _remove_surplus_voter(state, lead):
         return
     for learner in _learners(state, lead):
         progress = lead.progress[learner]
         is_alive = not _is_silent(state, progress)
         is_ready = progress.is_caught_up and is_alive
-        if is_ready and _is_wanted(state, lead, learner):
-            _admit(state, lead, learner)
+        if is_ready and _may_become_voter(state, lead, learner):
+            _promote(state, lead, learner)
             return
 
 
-def _admit(state: RaftState, lead: LeaderState, learner: MemberId) -> None:
+def _promote(state: RaftState, lead: LeaderState, learner: MemberId) -> None:
     kept = [voter for voter in state.log.voters if voter.name != learner.name]
     lost = set(state.log.voters).difference(kept)
     if not lost:
@@ -133,52 +143,56 @@
     for disk in lost:
         progress = lead.progress.get(disk)
         if progress is not None and not _is_silent(state, progress):
-            # Two processes share a name; the one that counts goes on.
+            # Two live processes share a name; the current voter stays.
             return
         lead.progress.pop(disk, None)
     state.append(EntryKind.VOTERS, encode_voters(tuple(sorted(kept))))
 
 
-def _is_wanted(
+def _may_become_voter(
     state: RaftState,
     lead: LeaderState,
     learner: MemberId,
 ) -> bool:
-    """Whether a learner gets a vote, where any replica may join."""
+    """Whether a learner may vote, given the wanted number of voters."""
     target = state.settings.voter_target
     voters = state.log.voters
     if not target or learner.name in _voter_names(state):
         return True
-    has_lost_voter = any(_is_lost(state, lead, voter) for voter in voters)
+    has_lost_voter = any(
+        _is_replaceable(state, lead, voter) for voter in voters
+    )
     return len(voters) < target + has_lost_voter
 
 
-def _drop_spare_voter(state: RaftState, lead: LeaderState) -> bool:
-    """Take a voter's vote away once another one has its place."""
+def _remove_surplus_voter(state: RaftState, lead: LeaderState) -> bool:
+    """Remove the longest silent voter while there are too many."""
     target = state.settings.voter_target
     voters = state.log.voters
     if not target or len(voters) <= target:
         return False
     others = [voter for voter in voters if voter != state.me]
-    # The one that was heard of last longest ago counts least.
-    dropped = min(others, key=lambda voter: _heard_s(lead, voter))
+    # The voter whose last message is the oldest.
+    dropped = min(others, key=lambda voter: _last_heard_s(lead, voter))
     kept = tuple(voter for voter in voters if voter != dropped)
     state.append(EntryKind.VOTERS, encode_voters(kept))
-    if _is_lost(state, lead, dropped):
+    if _is_replaceable(state, lead, dropped):
         lead.progress.pop(dropped, None)
     return True
 
 
-def _is_lost(state: RaftState, lead: LeaderState, voter: MemberId) -> bool:
+def _is_replaceable(
+    state: RaftState, lead: LeaderState, voter: MemberId
+) -> bool:
     if voter == state.me:
         return False
-    silence_s = state.now_s - _heard_s(lead, voter)
+    silence_s = state.now_s - _last_heard_s(lead, voter)
     return silence_s > state.settings.replace_silent_s
 
 
-def _heard_s(lead: LeaderState, voter: MemberId) -> float:
+def _last_heard_s(lead: LeaderState, voter: MemberId) -> float:
     progress = lead.progress.get(voter)
-    return progress.heard_s if progress else float('-inf')
+    return progress.last_heard_s if progress else float('-inf')
 
 
 def _voter_names(state: RaftState) -> set[str]:
@@ -186,12 +200,13 @@
 
 
 def _is_silent(state: RaftState, progress: Progress) -> bool:
-    return state.now_s - progress.heard_s > state.settings.election_min_s
+    return state.now_s - progress.last_heard_s > state.settings.election_min_s
 
 
-def _may_change(state: RaftState, lead: LeaderState) -> bool:
-    # One change at a time, and none before the leader's term has committed:
-    # an older leader's unfinished change could otherwise come back.
+def _can_change_voters(state: RaftState, lead: LeaderState) -> bool:
+    # One change at a time, and none before an entry of the leader's term is
+    # committed: an uncommitted change of an earlier leader could otherwise
+    # come into effect again.
     is_settled = state.log.voters_index <= state.commit_index
     return is_settled and state.commit_index >= lead.first_index
 
@@ -212,8 +227,8 @@
             lead.progress.pop(learner)
     lead.progress[member] = Progress(
         next_index=state.log.last_index + 1,
-        heard_s=state.now_s,
-        goal_index=state.log.last_index,
-        goal_since_s=state.now_s,
+        last_heard_s=state.now_s,
+        catch_up_index=state.log.last_index,
+        catch_up_started_s=state.now_s,
     )
     lead.heartbeat_due_s = state.now_s
--- a/src/wigeonreach/agreement/_raft_reads.py
+++ b/src/wigeonreach/agreement/_raft_reads.py
@@ -1,41 +1,42 @@
-"""Confirm that this leader still leads before a read is answered."""
+"""Linearizable reads: confirm leadership with a quorum before answering."""
 
 from __future__ import annotations
 
 from wigeonreach.agreement._raft_state import PendingRead, RaftState
-from wigeonreach.agreement._raft_types import Origin, Read, ReadReady
+from wigeonreach.agreement._raft_types import RequestOrigin, Read, ReadReady
 
 
 def on_read(state: RaftState, event: Read) -> None:
-    """Begin a read, or refuse it where another replica leads."""
-    lead = state.leading
+    """Start a read, or refuse it if not the leader."""
+    lead = state.leader_state
     if lead is None:
         state.output.refused.append(event.origin)
     elif state.commit_index < lead.first_index:
-        # What older terms committed is not known yet.
-        lead.early_reads.append(event.origin)
+        # Until an entry of this term is committed, the leader does not know
+        # which entries of older terms are.
+        lead.deferred_reads.append(event.origin)
     else:
-        _begin(state, event.origin)
+        _start_read(state, event.origin)
 
 
-def start_early(state: RaftState) -> None:
-    """Begin the reads that waited for the first commit of the term."""
-    lead = state.leading
+def start_deferred(state: RaftState) -> None:
+    """Start the reads deferred until the first commit of the term."""
+    lead = state.leader_state
     if lead is None or state.commit_index < lead.first_index:
         return
-    waiting = lead.early_reads
-    lead.early_reads = []
+    waiting = lead.deferred_reads
+    lead.deferred_reads = []
     for origin in waiting:
-        _begin(state, origin)
+        _start_read(state, origin)
 
 
-def confirm(state: RaftState) -> None:
-    """Answer the reads that a quorum's heartbeats confirmed."""
-    lead = state.leading
+def complete_confirmed(state: RaftState) -> None:
+    """Answer the reads that heartbeat replies of a quorum confirmed."""
+    lead = state.leader_state
     if lead is None:
         return
     unconfirmed: list[PendingRead] = []
-    for read in lead.reads:
+    for read in lead.pending_reads:
         agreeing = {
             member
             for member, progress in lead.progress.items()
@@ -45,15 +46,15 @@
             state.output.reads.append(ReadReady(read.origin, read.index))
         else:
             unconfirmed.append(read)
-    lead.reads = unconfirmed
+    lead.pending_reads = unconfirmed
 
 
-def _begin(state: RaftState, origin: Origin) -> None:
-    lead = state.leading
+def _start_read(state: RaftState, origin: RequestOrigin) -> None:
+    lead = state.leader_state
     assert lead is not None
     lead.heartbeat_round += 1
-    # The round goes out with the heartbeat that the step ends with.
+    # The new round is sent with the heartbeats at the end of this step.
     lead.heartbeat_due_s = state.now_s
-    lead.reads.append(
+    lead.pending_reads.append(
         PendingRead(origin, state.commit_index, lead.heartbeat_round),
     )
--- a/src/wigeonreach/agreement/_raft_transfer.py
+++ b/src/wigeonreach/agreement/_raft_transfer.py
@@ -1,13 +1,20 @@
-"""Send a snapshot in chunks to a replica that is too far behind."""
+"""Take snapshots, and send them in chunks to replicas that lag too far."""
 
 from __future__ import annotations
 
 import msgspec
 import xxhash
 
-from wigeonreach.agreement._raft_following import hear_leader, reply
+from wigeonreach.agreement._raft_following import (
+    accept_leader,
+    send_append_reply,
+)
 from wigeonreach.agreement._raft_log import RaftLog
-from wigeonreach.agreement._raft_state import Incoming, Progress, RaftState
+from wigeonreach.agreement._raft_state import (
+    IncomingSnapshot,
+    Progress,
+    RaftState,
+)
 from wigeonreach.agreement._raft_types import Snapshot
 from wigeonreach.wire._raft_messages import (
     MemberId,
@@ -15,7 +22,7 @@
     SnapshotReply,
 )
 
-_SNAPSHOT = msgspec.msgpack.Decoder(Snapshot)
+_SNAPSHOT_DECODER = msgspec.msgpack.Decoder(Snapshot)
 
 
 def send_chunk(
@@ -23,23 +30,25 @@
     member: MemberId,
     progress: Progress,
 ) -> None:
-    """Send the chunk that a replica needs next; one is under way at a time.
+    """Send the next chunk of a snapshot; one is in flight at a time.
 
-    Sending it again, as a heartbeat does, keeps the replica from campaigning
-    and covers loss.
+    Each heartbeat sends the chunk again, which makes up for lost chunks and
+    keeps the replica from starting an election.
     """
-    if progress.transfer is None:
-        _begin(state, progress)
-    assert progress.transfer is not None
+    if progress.encoded_snapshot is None:
+        _start_transfer(state, progress)
+    assert progress.encoded_snapshot is not None
     start = progress.sent_offset_bytes
-    payload = progress.transfer[start : start + state.settings.chunk_bytes]
+    payload = progress.encoded_snapshot[
+        start : start + state.settings.chunk_bytes
+    ]
     chunk = SnapshotChunk(
         sender=state.me,
         target_incarnation=member.incarnation,
-        term=state.hard.term,
-        index=progress.transfer_index,
+        term=state.hard_state.term,
+        index=progress.snapshot_index,
         offset_bytes=start,
-        total_bytes=len(progress.transfer),
+        total_bytes=len(progress.encoded_snapshot),
         checksum=xxhash.xxh3_64_intdigest(payload),
         payload=payload,
     )
@@ -47,47 +56,51 @@
 
 
 def on_snapshot_reply(state: RaftState, message: SnapshotReply) -> None:
-    """Send the next chunk."""
-    state.see_term(message.term)
-    if state.leading is None or message.term < state.hard.term:
+    """Send the chunk at the offset that a replica asks for."""
+    state.observe_term(message.term)
+    if state.leader_state is None or message.term < state.hard_state.term:
         return
-    progress = state.leading.progress.get(message.sender)
+    progress = state.leader_state.progress.get(message.sender)
     if progress is None:
         return
-    progress.heard_s = state.now_s
-    is_current = message.index == progress.transfer_index
-    if progress.transfer is None or not is_current:
+    progress.last_heard_s = state.now_s
+    is_current = message.index == progress.snapshot_index
+    if progress.encoded_snapshot is None or not is_current:
         return
     is_new = message.offset_bytes != progress.sent_offset_bytes
     progress.sent_offset_bytes = message.offset_bytes
-    if is_new and message.offset_bytes < len(progress.transfer):
+    if is_new and message.offset_bytes < len(progress.encoded_snapshot):
         send_chunk(state, message.sender, progress)
 
 
 def on_chunk(state: RaftState, chunk: SnapshotChunk) -> None:
-    """Gather a chunk and install the snapshot once it is whole."""
-    if not hear_leader(state, chunk.sender, chunk.term):
-        reply(state, chunk.sender, heartbeat_round=0, is_accepted=False)
+    """Store a chunk, and install the snapshot once it is complete."""
+    if not accept_leader(state, chunk.sender, chunk.term):
+        send_append_reply(
+            state, chunk.sender, heartbeat_round=0, is_accepted=False
+        )
         return
     if chunk.index <= state.commit_index:
-        # Whatever is committed here agrees with the leader.
+        # Committed entries always match those of the leader.
         state.verified_index = max(state.verified_index, chunk.index)
-        state.incoming = None
-        reply(state, chunk.sender, heartbeat_round=0, is_accepted=True)
+        state.incoming_snapshot = None
+        send_append_reply(
+            state, chunk.sender, heartbeat_round=0, is_accepted=True
+        )
         return
-    incoming = _incoming(state, chunk)
-    _gather(incoming, chunk)
+    incoming = _current_transfer(state, chunk)
+    _append_chunk(incoming, chunk)
     if len(incoming.chunks) == chunk.total_bytes:
         _install(state, bytes(incoming.chunks))
-        state.incoming = None
-    _ask_for_next(state, chunk, len(incoming.chunks))
+        state.incoming_snapshot = None
+    _request_chunk(state, chunk, len(incoming.chunks))
 
 
-def take(state: RaftState, index: int, machine_state: bytes) -> None:
-    """Keep the state machine's state and trim the log behind it.
+def store_snapshot(state: RaftState, index: int, machine_state: bytes) -> None:
+    """Store a snapshot of the state machine and compact the log.
 
-    Some entries stay, so that a replica that missed a moment needs no
-    snapshot.
+    The last entries before the snapshot are kept, so that a replica that
+    lags only a little does not need the snapshot.
     """
     if state.snapshot is not None and index <= state.snapshot.index:
         return
@@ -103,29 +116,31 @@
     state.write(snapshot=state.snapshot)
 
 
-def _begin(state: RaftState, progress: Progress) -> None:
+def _start_transfer(state: RaftState, progress: Progress) -> None:
     assert state.snapshot is not None
-    progress.transfer = msgspec.msgpack.encode(state.snapshot)
-    progress.transfer_index = state.snapshot.index
+    progress.encoded_snapshot = msgspec.msgpack.encode(state.snapshot)
+    progress.snapshot_index = state.snapshot.index
     progress.sent_offset_bytes = 0
 
 
-def _incoming(state: RaftState, chunk: SnapshotChunk) -> Incoming:
-    known = state.incoming
+def _current_transfer(
+    state: RaftState, chunk: SnapshotChunk
+) -> IncomingSnapshot:
+    known = state.incoming_snapshot
     if known is None or (known.index, known.term) != (chunk.index, chunk.term):
-        state.incoming = Incoming(chunk.index, chunk.term)
-    assert state.incoming is not None
-    return state.incoming
+        state.incoming_snapshot = IncomingSnapshot(chunk.index, chunk.term)
+    assert state.incoming_snapshot is not None
+    return state.incoming_snapshot
 
 
-def _gather(incoming: Incoming, chunk: SnapshotChunk) -> None:
+def _append_chunk(incoming: IncomingSnapshot, chunk: SnapshotChunk) -> None:
     is_next = chunk.offset_bytes == len(incoming.chunks)
     if is_next and xxhash.xxh3_64_intdigest(chunk.payload) == chunk.checksum:
         incoming.chunks.extend(chunk.payload)
 
 
 def _install(state: RaftState, encoded: bytes) -> None:
-    snapshot = _SNAPSHOT.decode(encoded)
+    snapshot = _SNAPSHOT_DECODER.decode(encoded)
     if state.log.term_at(snapshot.index) == snapshot.term:
         state.log.compact(snapshot.index)
     else:
@@ -138,10 +153,10 @@
     state.output.restored = snapshot
     state.output.committed.clear()
     state.write(snapshot=snapshot)
-    state.follow_voters()
+    state.update_voter_role()
 
 
-def _ask_for_next(
+def _request_chunk(
     state: RaftState,
     chunk: SnapshotChunk,
     offset_bytes: int,
@@ -151,7 +166,7 @@
         SnapshotReply(
             sender=state.me,
             target_incarnation=chunk.sender.incarnation,
-            term=state.hard.term,
+            term=state.hard_state.term,
             index=chunk.index,
             offset_bytes=offset_bytes,
         ),
--- a/src/wigeonreach/agreement/_raft_types.py
+++ b/src/wigeonreach/agreement/_raft_types.py
@@ -1,4 +1,4 @@
-"""Define what goes into and comes out of the agreement."""
+"""Events, effects, records and settings of the Raft core."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Role(enum.StrEnum):
-    """Roles of a replica; the transitions are ``charts/replica.yaml``."""
+    """Roles of a replica; ``charts/replica.yaml`` defines the transitions."""
 
     LEARNER = 'learner'
     FOLLOWER = 'follower'
@@ -25,7 +25,7 @@
 
 
 class RoleEvent(enum.StrEnum):
-    """What changes a role."""
+    """Events that may change the role."""
 
     BECAME_VOTER = 'became_voter'
     LOST_VOTE = 'lost_vote'
@@ -38,7 +38,11 @@
 
 
 class HardState(msgspec.Struct, frozen=True):
-    """What a replica must remember before it answers."""
+    """State that must be synced before a replica answers a message.
+
+    ``incarnation`` identifies the disk.  ``may_found`` is False if the
+    replica must not bootstrap a cluster, since its disk replaces a lost one.
+    """
 
     incarnation: int
     may_found: bool = True
@@ -47,7 +51,7 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """The state machine's state after an index, and who votes then."""
+    """State of the state machine after an index, and the voters then."""
 
     index: int
     term: int
@@ -56,7 +60,7 @@
 
 
 class JournalBase(msgspec.Struct, frozen=True):
-    """Where a journal begins, and who votes there."""
+    """Index and term of the entry before a journal, and the voters then."""
 
     index: int = 0
     term: int = 0
@@ -64,18 +68,17 @@
 
 
 class RaftSettings(msgspec.Struct, frozen=True):
-    """Times and sizes of the agreement.
+    """Timeouts and size limits of Raft.
 
-    A voter that hears of no leader campaigns after ``election_min_s`` to
-    twice as long; a leader that hears of no quorum for ``election_min_s``
-    steps down.
+    A voter that hears from no leader starts an election after a random time
+    between ``election_min_s`` and twice that; a leader that hears from no
+    quorum for ``election_min_s`` steps down.
 
     With a ``voter_target`` the membership is open: any replica may join, and
-    the leader makes voters of those that are caught up until there are so
-    many, or in place of a voter that was silent for ``replace_silent_s``.
-    Without one, the configured replicas are the voters.  A replica without a
-    vote that was silent for ``forget_learner_s`` is sent nothing more before
-    it asks to join again.
+    the leader promotes learners that caught up until there are that many
+    voters, or to replace a voter that was silent for ``replace_silent_s``.
+    With 0, the configured replicas are the voters.  Replication to a learner
+    that was silent for ``forget_learner_s`` stops until it asks to join again.
     """
 
     heartbeat_s: float = 0.15
@@ -91,10 +94,11 @@
 
 
 class Write(msgspec.Struct, frozen=True):
-    """What must be synced, in the order in which writes were issued.
+    """A write to disk; writes are synced in the order of their numbers.
 
-    ``journal`` replaces the whole journal behind ``journal_base``; it comes
-    with ``snapshot``.
+    ``last_index`` and ``last_term`` describe the last entry of the log when
+    the write was issued.  A write with a ``snapshot`` also replaces the whole
+    journal, with ``journal_base`` and the entries of ``journal``.
     """
 
     number: int
@@ -108,24 +112,24 @@
     journal: tuple[LogEntry, ...] = ()
 
 
-class Outgoing(msgspec.Struct, frozen=True):
-    """A message and the name of the replica it goes to."""
+class OutgoingMessage(msgspec.Struct, frozen=True):
+    """A message and the name of the replica to send it to."""
 
     target: str
     message: RaftMessage
 
 
-class Origin(msgspec.Struct, frozen=True):
-    """Who waits for a proposal or a read."""
+class RequestOrigin(msgspec.Struct, frozen=True):
+    """The replica and the number of the request that waits for an outcome."""
 
     member: MemberId
     request_id: int
 
 
-class Accepted(msgspec.Struct, frozen=True):
-    """A proposal stands in the leader's log, not committed yet."""
+class AppendedProposal(msgspec.Struct, frozen=True):
+    """A proposal that is in the leader's log, but not committed yet."""
 
-    origin: Origin
+    origin: RequestOrigin
     index: int
     term: int
 
@@ -133,20 +137,24 @@
 class ReadReady(msgspec.Struct, frozen=True):
     """A read may be answered once ``index`` is applied."""
 
-    origin: Origin
+    origin: RequestOrigin
     index: int
 
 
 @dataclasses.dataclass(slots=True)
 class Output:
-    """Effects of one step, in the order in which they are carried out."""
+    """Effects of one step of the Raft core.
+
+    ``restored`` is a snapshot received from the leader; the entries of
+    ``committed`` are applied after it.
+    """
 
     writes: list[Write] = dataclasses.field(default_factory=list)
-    messages: list[Outgoing] = dataclasses.field(default_factory=list)
+    messages: list[OutgoingMessage] = dataclasses.field(default_factory=list)
     restored: Snapshot | None = None
     committed: list[LogEntry] = dataclasses.field(default_factory=list)
-    accepted: list[Accepted] = dataclasses.field(default_factory=list)
-    refused: list[Origin] = dataclasses.field(default_factory=list)
+    accepted: list[AppendedProposal] = dataclasses.field(default_factory=list)
+    refused: list[RequestOrigin] = dataclasses.field(default_factory=list)
     reads: list[ReadReady] = dataclasses.field(default_factory=list)
 
 
@@ -155,42 +163,42 @@
 
 
 class Received(msgspec.Struct, frozen=True):
-    """A message of another replica arrived."""
+    """A message from another replica arrived."""
 
     message: RaftMessage
 
 
-class DiskDone(msgspec.Struct, frozen=True):
-    """All writes up to this number are synced."""
+class WritesSynced(msgspec.Struct, frozen=True):
+    """All writes up to a number are synced."""
 
     number: int
 
 
-class PeersKnown(msgspec.Struct, frozen=True):
-    """Other replicas were heard of; a replica without a vote asks them."""
+class PeersDiscovered(msgspec.Struct, frozen=True):
+    """Other replicas were discovered; one without a vote asks them to join."""
 
     names: tuple[str, ...]
 
 
-class HandOver(msgspec.Struct, frozen=True):
-    """This replica ends soon and should not lead any more."""
+class TransferLeadership(msgspec.Struct, frozen=True):
+    """This replica will stop soon and should not stay the leader."""
 
 
 class Propose(msgspec.Struct, frozen=True):
-    """Somebody wants a command replicated."""
+    """A client requests that a command is replicated."""
 
-    origin: Origin
+    origin: RequestOrigin
     command: bytes
 
 
 class Read(msgspec.Struct, frozen=True):
-    """Somebody wants to read what was acknowledged so far."""
+    """A client requests to read everything acknowledged so far."""
 
-    origin: Origin
+    origin: RequestOrigin
 
 
 class SnapshotTaken(msgspec.Struct, frozen=True):
-    """The state machine's state after an applied index."""
+    """The state machine took a snapshot after an applied index."""
 
     index: int
     state: bytes
@@ -199,9 +207,9 @@
 RaftEvent = (
     Tick
     | Received
-    | DiskDone
-    | HandOver
-    | PeersKnown
+    | WritesSynced
+    | TransferLeadership
+    | PeersDiscovered
     | Propose
     | Read
     | SnapshotTaken
--- a/src/wigeonreach/agreement/_requests.py
+++ b/src/wigeonreach/agreement/_requests.py
@@ -1,4 +1,4 @@
-"""Keep track of proposals and reads until their outcome is known."""
+"""Track proposals and reads until their outcome is known."""
 
 from __future__ import annotations
 
@@ -9,85 +9,95 @@
 
 import msgspec
 
-from wigeonreach.agreement._raft_types import Accepted, Origin
+from wigeonreach.agreement._raft_types import AppendedProposal, RequestOrigin
 
-_BITS = 60
+_FIRST_NUMBER_BITS = 60
 
 
-class Done(msgspec.Struct, frozen=True):
-    """A proposal was applied."""
+class Applied(msgspec.Struct, frozen=True):
+    """A proposal was applied, with this reply of the state machine."""
 
     reply: bytes
 
 
-class Readable(msgspec.Struct, frozen=True):
-    """A read may be answered once this index is applied."""
+class ReadIndex(msgspec.Struct, frozen=True):
+    """A read may be answered once the entry at this index is applied."""
 
     index: int
 
 
 class NotStored(msgspec.Struct, frozen=True):
-    """The replica that was asked does not lead; nothing was stored."""
+    """The request was refused; nothing was stored.
 
+    Either the receiver is not the leader, or too many proposals are pending.
+    """
 
-class Unknown(msgspec.Struct, frozen=True):
-    """Whether a proposal will be applied can't be known here."""
 
+class OutcomeUnknown(msgspec.Struct, frozen=True):
+    """It is not known whether a proposal will be applied."""
 
-RequestOutcome = Done | Readable | NotStored | Unknown
+
+RequestOutcome = Applied | ReadIndex | NotStored | OutcomeUnknown
 
 
 @dataclasses.dataclass(slots=True)
-class Requests:
-    """Requests of this replica's callers, and proposals in its log."""
+class PendingRequests:
+    """Pending requests of this replica, and unapplied proposals in its log."""
 
-    # Answers to a request of this replica's former process may still be
-    # under way; they must not be taken for an answer to a new one.
+    # Numbers start at a random one: replies to requests of this replica's
+    # previous process may still arrive, and must not match a new request.
     _numbers: itertools.count[int] = dataclasses.field(
-        default_factory=lambda: itertools.count(secrets.randbits(_BITS)),
+        default_factory=lambda: itertools.count(
+            secrets.randbits(_FIRST_NUMBER_BITS)
+        ),
     )
     _waiting: dict[int, asyncio.Future[RequestOutcome]] = dataclasses.field(
         default_factory=dict,
     )
-    _stored: dict[int, Accepted] = dataclasses.field(default_factory=dict)
+    _proposals: dict[int, AppendedProposal] = dataclasses.field(
+        default_factory=dict
+    )
 
     @property
-    def stored_count(self) -> int:
-        """How many proposals stand in the log, not applied yet."""
-        return len(self._stored)
+    def proposal_count(self) -> int:
+        """Number of proposals in the log that are not applied yet."""
+        return len(self._proposals)
 
-    def open(self) -> tuple[int, asyncio.Future[RequestOutcome]]:
-        """Return a new request's number and what will be its outcome."""
+    def create(self) -> tuple[int, asyncio.Future[RequestOutcome]]:
+        """Create a request; return its number and a future of its outcome."""
         number = next(self._numbers)
         future: asyncio.Future[RequestOutcome] = asyncio.Future()
         self._waiting[number] = future
         future.add_done_callback(lambda _: self._waiting.pop(number, None))
         return number, future
 
-    def settle(self, number: int, outcome: RequestOutcome) -> None:
-        """Tell a caller the outcome, if it still waits."""
+    def resolve(self, number: int, outcome: RequestOutcome) -> None:
+        """Set the outcome of a request, if it is still pending."""
         future = self._waiting.get(number)
         if future is not None and not future.done():
             future.set_result(outcome)
 
-    def settle_all(self, outcome: RequestOutcome) -> None:
-        """Tell all callers the same."""
+    def resolve_all(self, outcome: RequestOutcome) -> None:
+        """Set the same outcome for all pending requests."""
         for number in list(self._waiting):
-            self.settle(number, outcome)
+            self.resolve(number, outcome)
+
+    def track_proposal(self, accepted: AppendedProposal) -> None:
+        """Record the origin of an entry in the log."""
+        self._proposals[accepted.index] = accepted
 
-    def note_stored(self, accepted: Accepted) -> None:
-        """Remember who proposed an entry."""
-        self._stored[accepted.index] = accepted
+    def pop_proposal(self, index: int, term: int) -> RequestOrigin | None:
+        """Remove an applied entry; return its origin, or None if unknown.
 
-    def take_applied(self, index: int, term: int) -> Origin | None:
-        """Return who proposed an applied entry, if it is known here."""
-        accepted = self._stored.pop(index, None)
+        An entry of another term at the same index was proposed elsewhere.
+        """
+        accepted = self._proposals.pop(index, None)
         if accepted is None or accepted.term != term:
             return None
         return accepted.origin
 
-    def take_all_stored(self) -> list[Origin]:
-        """Forget all proposals in the log; return who waits for them."""
-        origins = [accepted.origin for accepted in self._stored.values()]
-        self._stored.clear()
+    def pop_all_proposals(self) -> list[RequestOrigin]:
+        """Remove all proposals; return their origins."""
+        origins = [accepted.origin for accepted in self._proposals.values()]
+        self._proposals.clear()
         return origins
--- a/src/wigeonreach/agreement/_settings.py
+++ b/src/wigeonreach/agreement/_settings.py
@@ -12,7 +12,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReplicaSettings:
-    """Who a replica is, whom it agrees with and where its files are."""
+    """Identity of a replica, the members of its cluster and its data folder."""
 
     name: str
     zone: str
@@ -21,7 +21,7 @@
     data_folder: pathlib.Path
 
     def __post_init__(self) -> None:
-        """Check that the replica knows itself."""
+        """Check that the replica itself is among the members."""
         if self.name not in {member.name for member in self.members}:
             raise SettingError(
                 ResultCode.SETTING_INVALID,
@@ -30,5 +30,5 @@
 
     @property
     def quorum(self) -> int:
-        """How many replicas make a majority."""
+        """Number of replicas that make a majority."""
         return len(self.members) // 2 + 1
--- a/src/wigeonreach/agreement/_state_machine.py
+++ b/src/wigeonreach/agreement/_state_machine.py
@@ -1,4 +1,4 @@
-"""Define what is replicated and how it is reached."""
+"""Interfaces of the replicated state machine and of the consensus."""
 
 from __future__ import annotations
 
@@ -6,46 +6,46 @@
 
 
 class StateMachine(Protocol):
-    """A deterministic state that every replica computes alike.
+    """A deterministic state machine, run by every replica.
 
-    Nothing but the index and the command may influence it: no clock, no
-    random numbers, no settings of one replica.
+    Its state may depend only on the indexes and commands applied: not on a
+    clock, on random numbers or on the settings of one replica.
     """
 
     def apply(self, index: int, command: bytes) -> bytes:
-        """Carry out a committed command.
+        """Apply a committed command.
 
         Parameters
         ----------
         index
-            Place of the command in the log; it grows from call to call, with
-            gaps where the log holds entries of the replicas themselves.
+            Index of the command in the log.  It grows from call to call, with
+            gaps where the log holds internal entries of Raft.
         command
-            What was proposed.
+            The proposed command.
 
         Returns
         -------
         bytes
-            Reply for whoever proposed; a refusal is a reply too.
+            Reply for the proposer; a refusal is a reply too.
         """
 
     def snapshot(self) -> bytes:
-        """Return the whole state."""
+        """Return the whole state, encoded."""
 
     def restore(self, snapshot: bytes) -> None:
-        """Replace the state by one that ``snapshot`` returned."""
+        """Replace the state with one that ``snapshot`` returned."""
 
 
 class Agreement(Protocol):
-    """How a replica's other parts reach the replicated state."""
+    """Access to the replicated log for the other parts of a replica."""
 
     @property
     def is_leader(self) -> bool:
-        """Whether this replica decides on changes now."""
+        """Whether this replica is the leader."""
 
     @property
     def applied_index(self) -> int:
-        """Index of the last command that was applied here."""
+        """Index of the last entry applied on this replica."""
 
     async def propose(self, command: bytes) -> bytes:
         """Replicate a command and return the state machine's reply.
@@ -53,12 +53,12 @@
         Raises
         ------
         StateError
-            With ``STATE_NO_QUORUM`` if no quorum confirmed in time: the
+            With ``STATE_NO_QUORUM`` if no quorum confirmed in time; the
             command may still be applied later, or never.
         """
 
     async def read_barrier(self) -> None:
-        """Wait until all that was acknowledged before is applied here.
+        """Wait until every command acknowledged so far is applied here.
 
         Raises
         ------
@@ -67,4 +67,10 @@
         """
 
     async def wait_applied(self, known_index: int) -> int:
-        """Wait until more than ``known_index`` is applied; return how far."""
+        """Wait until an entry after ``known_index`` is applied.
+
+        Returns
+        -------
+        int
+            Index of the last applied entry.
+        """
--- a/src/wigeonreach/agreement/_storage.py
+++ b/src/wigeonreach/agreement/_storage.py
@@ -1,4 +1,4 @@
-"""Keep hard state, snapshot and journal in one folder."""
+"""Store the hard state, the snapshot and the journal in one folder."""
 
 from __future__ import annotations
 
@@ -19,26 +19,31 @@
 )
 from wigeonreach.agreement._raft_log import RaftLog
 from wigeonreach.agreement._raft_types import HardState, Snapshot, Write
-from wigeonreach.agreement._records import RecordKind, frame, read_records
+from wigeonreach.agreement._records import (
+    RecordKind,
+    encode_record,
+    read_records,
+)
 from wigeonreach.codes import ResultCode
 from wigeonreach.exceptions import StateError
 
 _HARD_STATE = 'hard-state'
 _SNAPSHOT = 'snapshot'
 _JOURNAL = 'journal'
-_NEW = '.new'
+_TEMPORARY_SUFFIX = '.new'
 _FILES = frozenset((_HARD_STATE, _SNAPSHOT, _JOURNAL))
 _INCARNATION_BITS = 62
-_MARK_BITS = 32
+_DAMAGED_ID_BITS = 32
 _SYSTEM_RANDOM = random.SystemRandom()
 _Item = TypeVar('_Item')
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Stored:
-    """What a data folder holds.
+class StoredState:
+    """Content of a data folder.
 
-    ``torn_bytes`` is how much of an interrupted write was cut off.
+    ``torn_bytes`` is the size of an interrupted write that was removed from
+    the journal.
     """
 
     hard: HardState
@@ -49,14 +54,14 @@
 
 
 class Storage:
-    """The durable side of one replica.
+    """Durable storage of one replica.
 
     Parameters
     ----------
     disk
-        Its folder.
+        The data folder.
     rng
-        Source of incarnations.
+        Source of random incarnations and of names for damaged files.
     """
 
     def __init__(
@@ -64,18 +69,19 @@
         disk: Disk,
         rng: random.Random = _SYSTEM_RANDOM,
     ) -> None:
-        """Touch nothing yet."""
+        """Create a storage; the folder is not accessed yet."""
         self._disk = disk
         self._rng = rng
         self.sync_count = 0
 
-    def load(self, may_found: bool = True) -> Stored:
-        """Return what is stored; an empty folder gets a new incarnation.
+    def load(self, may_found: bool = True) -> StoredState:
+        """Load the stored state; an empty folder is initialized first.
 
         Parameters
         ----------
         may_found
-            Whether an empty folder may belong to a system that never ran.
+            Whether an empty folder may belong to a cluster that was never
+            bootstrapped.
 
         Raises
         ------
@@ -83,23 +89,28 @@
             If a record is damaged or a file is missing.
         """
         for name in self._disk.names():
-            if name.endswith(_NEW):
+            if name.endswith(_TEMPORARY_SUFFIX):
                 self._disk.remove(name)
         if not self._disk.names() & _FILES:
-            return self._create(may_found)
-        hard = self._read_one(_HARD_STATE, RecordKind.HARD_STATE, HardState)
+            return self._initialize(may_found)
+        hard = self._read_single_record(
+            _HARD_STATE, RecordKind.HARD_STATE, HardState
+        )
         if hard is None:
             raise StateError(ResultCode.STATE_DAMAGED, 'hard-state: missing')
-        snapshot = self._read_one(_SNAPSHOT, RecordKind.SNAPSHOT, Snapshot)
+        snapshot = self._read_single_record(
+            _SNAPSHOT, RecordKind.SNAPSHOT, Snapshot
+        )
         journal = self._load_journal(hard)
-        _check_covered(snapshot, journal)
+        _check_journal_follows(snapshot, journal)
         log = journal.log
-        if snapshot is not None and not _reaches(log, snapshot):
-            # A crash came between the snapshot and the journal behind it.
+        if snapshot is not None and not _contains_end_of(log, snapshot):
+            # The process crashed after it wrote the snapshot and before it
+            # replaced the journal.
             log = RaftLog(snapshot.index, snapshot.term, snapshot.voters)
-            self._replace(_JOURNAL, encode_journal(log))
+            self._replace_file(_JOURNAL, encode_journal(log))
         snapshot_index = snapshot.index if snapshot else 0
-        return Stored(
+        return StoredState(
             hard,
             snapshot,
             log,
@@ -107,35 +118,35 @@
             journal.torn_bytes,
         )
 
-    def set_aside(self) -> Stored:
-        """Keep damaged files under other names and begin as a new disk.
+    def move_damaged_files(self) -> StoredState:
+        """Rename the damaged files, and initialize the folder as a new disk.
 
-        The new disk has no vote until a leader admits it, and never founds.
+        The new disk has no vote until a leader makes it a voter, and must
+        not bootstrap a cluster.
         """
-        mark = format(self._rng.getrandbits(_MARK_BITS), 'x')
+        mark = format(self._rng.getrandbits(_DAMAGED_ID_BITS), 'x')
         for name in self._disk.names() & _FILES:
             self._disk.rename(name, f'damaged-{mark}-{name}')
-        return self._create(may_found=False)
+        return self._initialize(may_found=False)
 
     def write(self, writes: Sequence[Write]) -> None:
-        """Store writes in order and sync them together.
+        """Store writes in order, and sync them together.
 
         Raises
         ------
         OSError
-            If the disk does not take them; writes may be tried again unless
-            a sync failed.
+            If the disk refuses a write; the writes may be retried.
         SyncFailedError
-            If a sync failed: what the page cache holds can't be trusted any
-            more, and the process has to stop.
+            If a sync failed; the content of the page cache can't be trusted
+            any more, and the process must exit.
         """
         hard_states = [write.hard for write in writes if write.hard]
         if hard_states:
-            self._replace(_HARD_STATE, _frame_hard(hard_states[-1]))
+            self._replace_file(_HARD_STATE, _encode_hard_state(hard_states[-1]))
         snapshots = [write for write in writes if write.snapshot]
         if snapshots:
             self._write_snapshot(snapshots[-1])
-        later = _after_snapshot(writes)
+        later = _writes_after_snapshot(writes)
         records = encode_entries(
             entry for item in later for entry in item.entries
         )
@@ -144,15 +155,15 @@
             self._disk.append(_JOURNAL, records)
             self._sync(_JOURNAL)
 
-    def _create(self, may_found: bool) -> Stored:
+    def _initialize(self, may_found: bool) -> StoredState:
         incarnation = self._rng.getrandbits(_INCARNATION_BITS) + 1
         hard = HardState(incarnation, may_found)
         log = RaftLog()
-        self._replace(_HARD_STATE, _frame_hard(hard))
-        self._replace(_JOURNAL, encode_journal(log))
-        return Stored(hard, None, log, 0)
+        self._replace_file(_HARD_STATE, _encode_hard_state(hard))
+        self._replace_file(_JOURNAL, encode_journal(log))
+        return StoredState(hard, None, log, 0)
 
-    def _read_one(
+    def _read_single_record(
         self,
         name: str,
         kind: RecordKind,
@@ -167,19 +178,21 @@
 
     def _load_journal(self, hard: HardState) -> JournalContent:
         if _JOURNAL not in self._disk.names() and hard.term == 0:
-            # Nothing is stored before the first term.
-            self._replace(_JOURNAL, encode_journal(RaftLog()))
+            # No entries are stored before the first term, so none are lost.
+            self._replace_file(_JOURNAL, encode_journal(RaftLog()))
         if _JOURNAL not in self._disk.names():
             raise StateError(ResultCode.STATE_DAMAGED, 'journal: missing')
         content = read_journal(self._disk.read(_JOURNAL), _JOURNAL)
         if content.torn_bytes:
-            self._disk.cut(_JOURNAL, content.size_bytes)
+            self._disk.truncate(_JOURNAL, content.size_bytes)
             self._sync(_JOURNAL)
         return content
 
     def _write_snapshot(self, write: Write) -> None:
         payload = msgspec.msgpack.encode(write.snapshot)
-        self._replace(_SNAPSHOT, frame(RecordKind.SNAPSHOT, payload))
+        self._replace_file(
+            _SNAPSHOT, encode_record(RecordKind.SNAPSHOT, payload)
+        )
         base = write.journal_base
         log = RaftLog(
             base.index,
@@ -188,10 +201,10 @@
             list(write.journal),
         )
         content = encode_journal(log) + encode_commit(write.commit_index)
-        self._replace(_JOURNAL, content)
+        self._replace_file(_JOURNAL, content)
 
-    def _replace(self, name: str, content: bytes) -> None:
-        new_name = f'{name}{_NEW}'
+    def _replace_file(self, name: str, content: bytes) -> None:
+        new_name = f'{name}{_TEMPORARY_SUFFIX}'
         if new_name in self._disk.names():
             self._disk.remove(new_name)
         self._disk.append(new_name, content)
@@ -214,15 +227,15 @@
 
 
 class SyncFailedError(StateError):
-    """A sync failed, so nothing written since the last one is certain."""
+    """A sync failed; writes since the last successful one may be lost."""
 
 
-def _frame_hard(hard: HardState) -> bytes:
-    return frame(RecordKind.HARD_STATE, msgspec.msgpack.encode(hard))
+def _encode_hard_state(hard: HardState) -> bytes:
+    return encode_record(RecordKind.HARD_STATE, msgspec.msgpack.encode(hard))
 
 
-def _after_snapshot(writes: Sequence[Write]) -> Sequence[Write]:
-    """Return the writes whose entries a rewritten journal lacks."""
+def _writes_after_snapshot(writes: Sequence[Write]) -> Sequence[Write]:
+    """Return the writes whose entries the rewritten journal lacks."""
     later: list[Write] = []
     for write in writes:
         if write.snapshot:
@@ -232,11 +245,11 @@
     return later
 
 
-def _reaches(log: RaftLog, snapshot: Snapshot) -> bool:
+def _contains_end_of(log: RaftLog, snapshot: Snapshot) -> bool:
     return log.term_at(snapshot.index) == snapshot.term
 
 
-def _check_covered(
+def _check_journal_follows(
     snapshot: Snapshot | None,
     journal: JournalContent,
 ) -> None:
@@ -244,5 +257,5 @@
     if journal.log.base_index > snapshot_index:
         raise StateError(
             ResultCode.STATE_DAMAGED,
-            'snapshot: older than where the journal begins',
+            'snapshot: older than the beginning of the journal',
         )
--- a/tests/agreement/test_raft_catch_up.py
+++ b/tests/agreement/test_raft_catch_up.py
@@ -12,16 +12,16 @@
 from wigeonreach.agreement._raft import Raft
 from wigeonreach.agreement._raft_log import encode_voters
 from wigeonreach.agreement._raft_types import (
-    DiskDone,
-    HandOver,
-    Outgoing,
+    WritesSynced,
+    TransferLeadership,
+    OutgoingMessage,
     RaftEvent,
     RaftSettings,
     Received,
     Role,
     Tick,
 )
-from wigeonreach.agreement._storage import Stored
+from wigeonreach.agreement._storage import StoredState
 from wigeonreach.wire._raft_messages import (
     AppendEntries,
     EntryKind,
@@ -63,7 +63,7 @@
             )
             for name, stored in (('a', behind), ('b', ahead))
         }
-        self.in_flight: list[Outgoing] = []
+        self.in_flight: list[OutgoingMessage] = []
         self.sent_entries = 0
 
     def step(self, now_s: float) -> None:
@@ -92,7 +92,7 @@
             output = raft.step(batch, now_s)
             self.in_flight.extend(output.messages)
             while output.writes:
-                done = DiskDone(output.writes[-1].number)
+                done = WritesSynced(output.writes[-1].number)
                 output = raft.step((done,), now_s)
                 self.in_flight.extend(output.messages)
         self.sent_entries = sum(
@@ -102,7 +102,7 @@
         )
 
 
-def _change_voters(stored: Stored, names: Sequence[str]) -> None:
+def _change_voters(stored: StoredState, names: Sequence[str]) -> None:
     """Let a log end with an entry that changes the voters."""
     last_index = stored.log.last_index
     voters = tuple(MemberId(name, 1) for name in names)
@@ -143,7 +143,7 @@
         for number in range(_STEPS):
             pair.step(number * _STEP_S)
         began_s = _STEPS * _STEP_S
-        pair.tell('b', HandOver(), began_s)
+        pair.tell('b', TransferLeadership(), began_s)
         for late in range(6):
             pair.step(began_s + late * 0.01)
         roles = {name: raft.state.role for name, raft in pair.rafts.items()}
@@ -176,7 +176,7 @@
         pair.tell('b', Received(join), now_s)
 
     def _is_followed(self, pair: _Pair) -> bool:
-        lead = pair.rafts['b'].state.leading
+        lead = pair.rafts['b'].state.leader_state
         assert lead is not None
         return any(member.name == 'd' for member in lead.progress)
 
@@ -238,5 +238,5 @@
                 )
                 output = raft.step((Received(granted),), now_s)
             if output.writes:
-                raft.step((DiskDone(output.writes[-1].number),), now_s)
+                raft.step((WritesSynced(output.writes[-1].number),), now_s)
         return began_s
--- a/tests/agreement/test_raft_model.py
+++ b/tests/agreement/test_raft_model.py
@@ -21,8 +21,8 @@
 )
 from wigeonreach.agreement import _raft_members
 from wigeonreach.agreement._raft_state import LeaderState, RaftState
-from wigeonreach.agreement._raft_types import DiskDone, RaftEvent
-from wigeonreach.agreement._storage import Stored
+from wigeonreach.agreement._raft_types import WritesSynced, RaftEvent
+from wigeonreach.agreement._storage import StoredState
 from wigeonreach.wire._raft_messages import MemberId
 
 _RUNS = 12
@@ -331,7 +331,7 @@
 ) -> None:
     _STEP(simulation, node, event, command)
     if node.raft is not None and node.writes:
-        done = DiskDone(node.writes[-1].number)
+        done = WritesSynced(node.writes[-1].number)
         if done != event:
             _STEP(simulation, node, done)
 
@@ -376,7 +376,7 @@
 class _ForgetsVote(Node):
     """Remembers the term, but not the vote."""
 
-    def load(self) -> Stored:
+    def load(self) -> StoredState:
         """Read the disk without the vote."""
         stored = super().load()
         hard = msgspec.structs.replace(stored.hard, vote=None)
@@ -386,7 +386,7 @@
 class _KeepsIncarnation(Node):
     """Has the same incarnation on each new disk."""
 
-    def load(self) -> Stored:
+    def load(self) -> StoredState:
         """Read the disk, always under the same incarnation."""
         stored = super().load()
         hard = msgspec.structs.replace(stored.hard, incarnation=1)
--- a/tests/agreement/test_requests.py
+++ b/tests/agreement/test_requests.py
@@ -6,7 +6,7 @@
 
 import testtools
 
-from wigeonreach.agreement._requests import Done, Requests
+from wigeonreach.agreement._requests import Applied, PendingRequests
 
 
 class TestRequests(testtools.TestCase):
@@ -18,8 +18,8 @@
 
 
 async def _settles_across_a_restart() -> bool:
-    former, present = Requests(), Requests()
-    number, _ = former.open()
-    _, waiting = present.open()
-    present.settle(number, Done(b'stored'))
+    former, present = PendingRequests(), PendingRequests()
+    number, _ = former.create()
+    _, waiting = present.create()
+    present.resolve(number, Applied(b'stored'))
     return waiting.done()
--- a/tests/agreement/test_storage.py
+++ b/tests/agreement/test_storage.py
@@ -43,7 +43,7 @@
         whole = disk.read('journal')
         for size in range(len(whole) - 1, start, -1):
             for filling in (b'', b'\0' * 40):
-                disk.cut('journal', 0)
+                disk.truncate('journal', 0)
                 disk.append('journal', whole[:size] + filling)
                 stored = storage.load()
                 self.assertIn(stored.log.last_index, (2, 3))
@@ -75,7 +75,7 @@
         """Damaged files are kept, and the replica may not found anew."""
         disk, storage = _filled(1)
         before = storage.load().hard
-        after = storage.set_aside().hard
+        after = storage.move_damaged_files().hard
         self.assertNotEqual(before.incarnation, after.incarnation)
         self.assertFalse(after.may_found)
         self.assertEqual(0, storage.load().log.last_index)
--- a/tests/builders_disk.py
+++ b/tests/builders_disk.py
@@ -52,7 +52,7 @@
             self._note_names()
         self._live[name].content += payload
 
-    def cut(self, name: str, size_bytes: int) -> None:
+    def truncate(self, name: str, size_bytes: int) -> None:
         """Shorten a file."""
         self._operate()
         file = self._live[name]
--- a/tests/builders_raft.py
+++ b/tests/builders_raft.py
@@ -12,10 +12,10 @@
 from wigeonreach.agreement._raft import Raft
 from wigeonreach.agreement._raft_log import RaftLog, encode_voters
 from wigeonreach.agreement._raft_types import (
-    DiskDone,
+    WritesSynced,
     HardState,
-    Origin,
-    Outgoing,
+    RequestOrigin,
+    OutgoingMessage,
     Output,
     Propose,
     RaftEvent,
@@ -27,7 +27,7 @@
     Tick,
     Write,
 )
-from wigeonreach.agreement._storage import Storage, Stored
+from wigeonreach.agreement._storage import Storage, StoredState
 from wigeonreach.wire._raft_messages import EntryKind, LogEntry, MemberId
 
 NAMES = ('a', 'b', 'c')
@@ -60,7 +60,7 @@
         default_factory=dict,
     )
 
-    def load(self) -> Stored:
+    def load(self) -> StoredState:
         """Read the disk at the start of the process."""
         return self.storage.load()
 
@@ -80,7 +80,7 @@
         """Begin with three empty disks."""
         self.rng = random.Random(seed)
         self.now_s = 0.0
-        self.in_flight: list[Outgoing] = []
+        self.in_flight: list[OutgoingMessage] = []
         self.history: dict[int, LogEntry] = {}
         self.acknowledged: dict[int, bytes] = {}
         self.leaders: dict[int, MemberId] = {}
@@ -175,7 +175,7 @@
         node.disk.operations_left = None
         number = node.writes[-1].number
         node.writes = []
-        self.step(node, DiskDone(number))
+        self.step(node, WritesSynced(number))
 
     def leader_or(self, node: Node) -> Node:
         """Return a replica that leads, or the given one if none does."""
@@ -191,7 +191,7 @@
         self._serial += 1
         command = f'change-{self._serial}'.encode()
         if node.raft is not None:
-            origin = Origin(node.raft.state.me, self._serial)
+            origin = RequestOrigin(node.raft.state.me, self._serial)
             self.step(node, Propose(origin, command), command)
 
     def read(self, node: Node) -> None:
@@ -199,7 +199,9 @@
         self._serial += 1
         if node.raft is not None:
             self.reads[self._serial] = max(self.acknowledged, default=0)
-            self.step(node, Read(Origin(node.raft.state.me, self._serial)))
+            self.step(
+                node, Read(RequestOrigin(node.raft.state.me, self._serial))
+            )
 
     def snapshot(self, node: Node) -> None:
         """Let a replica trim its log behind what it applied."""
@@ -299,10 +301,10 @@
         state = node.raft.state
         if state.role is not Role.LEADER:
             return
-        known = self.leaders.setdefault(state.hard.term, state.me)
+        known = self.leaders.setdefault(state.hard_state.term, state.me)
         _expect(
             known == state.me,
-            f'{known} and {state.me} lead term {state.hard.term}',
+            f'{known} and {state.me} lead term {state.hard_state.term}',
         )
         for index, command in self.acknowledged.items():
             self._check_held(node, index, command)
@@ -313,11 +315,11 @@
         # Only a leader of a later term has to have it.
         entry = self.history[index]
         log = state.log
-        if entry.term > state.hard.term or index <= log.base_index:
+        if entry.term > state.hard_state.term or index <= log.base_index:
             return
         _expect(
             log.term_at(index) == entry.term,
-            f'leader {state.me} of {state.hard.term} lacks {command!r}',
+            f'leader {state.me} of {state.hard_state.term} lacks {command!r}',
         )
 
     def committed_voters(self) -> tuple[MemberId, ...]:
@@ -339,7 +341,7 @@
         raise BrokenPromiseError(promise)
 
 
-def stored_log(name: str, terms: Iterable[tuple[int, int]]) -> Stored:
+def stored_log(name: str, terms: Iterable[tuple[int, int]]) -> StoredState:
     """Return a disk with so many entries of each term, none committed.
 
     All replicas of such logs know each other as voters of incarnation 1.
@@ -352,7 +354,7 @@
             for place in range(count)
         )
     last_term = entries[-1].term
-    return Stored(
+    return StoredState(
         HardState(incarnation=1, may_found=False, term=last_term),
         None,
         RaftLog(entries=entries),
