--- a/src/wigeonreach/rollout/__init__.py
+++ b/src/wigeonreach/rollout/__init__.py
@@ -1,4 +1,4 @@
-"""Bring accepted texts to every process as deltas that never go back."""
+"""Distribute configuration texts to every process, as deltas."""
 
 from wigeonreach.rollout._delta import (
     LineEdit,
--- a/src/wigeonreach/rollout/_copy.py
+++ b/src/wigeonreach/rollout/_copy.py
@@ -1,4 +1,4 @@
-"""Bring one copy of the text up to another with as few bytes as is simple."""
+"""Update a copy of the configuration text from deltas or changed sections."""
 
 from __future__ import annotations
 
@@ -24,19 +24,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TextCopy:
-    """A version of the accepted text; version 0 is the empty one."""
+    """A version of the configuration text; version 0 is the empty text."""
 
     version: int
     text: str
     checksum: int
 
     def digests(self) -> tuple[int, ...]:
-        """Return the digest of each section, in order."""
+        """Return the checksum of each section, in order."""
         return tuple(map(checksum_of, split_sections(self.text)))
 
 
 def make_copy(version: int, text: str) -> TextCopy:
-    """Return a copy with its checksum."""
+    """Return a copy of a version, with the checksum of its text."""
     return TextCopy(version, text, checksum_of(text))
 
 
@@ -44,45 +44,50 @@
 
 
 def follow_delta(held: TextCopy, delta: ConfigDelta) -> TextCopy:
-    """Return the newer copy that a delta makes of the one held.
+    """Apply a delta to a copy.
 
     Parameters
     ----------
     held
-        The copy that the delta starts from.
+        The copy to update.
     delta
-        The step.
+        The line edits from its version to a newer one.
 
     Returns
     -------
     TextCopy
-        The newer copy.
+        The copy of the newer version.
 
     Raises
     ------
     WireError
-        If the delta starts from another version or gives a wrong checksum.
+        If the delta is based on another version, or the result does not
+        match its checksum.
     """
     if delta.base_version != held.version:
-        raise _unusable(f'delta from {delta.base_version}, {held.version} held')
+        raise _unusable(
+            f'delta is based on version {delta.base_version}, '
+            f'but version {held.version} is held',
+        )
     lines = apply_edits(split_lines(held.text), delta.edits)
     return _checked(delta.version, ''.join(lines), delta.checksum)
 
 
 def missing_sections(newest: TextCopy, need: ConfigNeed) -> ConfigSections:
-    """Return the sections that an asker lacks.
+    """Return the sections that a requester lacks.
 
     Parameters
     ----------
     newest
-        The copy to bring the asker to.
+        The copy that the requester is updated to.
     need
-        What the asker holds.
+        The checksums of the sections that the requester holds.
 
     Returns
     -------
     ConfigSections
-        The whole text if the asker holds nothing.
+        The missing sections, compressed, and the order of all sections; the
+        whole text if the requester holds nothing.
     """
     if not need.digests:
         return ConfigSections(
@@ -108,24 +113,24 @@
 
 
 def merge_sections(held: TextCopy, message: ConfigSections) -> TextCopy:
-    """Return the copy that received sections and those held make together.
+    """Combine received sections with those of the copy held.
 
     Parameters
     ----------
     held
-        The copy held.
+        The copy to update.
     message
-        What was received.
+        The sections received, and the order of all sections.
 
     Returns
     -------
     TextCopy
-        The newer copy.
+        The copy of the version received.
 
     Raises
     ------
     WireError
-        If a section is missing or the checksum is wrong.
+        If a section is missing or the checksum does not match.
     """
     received = _unpack(message.packed)
     text = join_sections(received)
@@ -151,7 +156,7 @@
 def _checked(version: int, text: str, checksum: int) -> TextCopy:
     copy = make_copy(version, text)
     if copy.checksum != checksum:
-        raise _unusable(f'version {version} has another checksum')
+        raise _unusable(f'checksum mismatch in version {version}')
     return copy
 
 
--- a/src/wigeonreach/rollout/_delta.py
+++ b/src/wigeonreach/rollout/_delta.py
@@ -1,4 +1,4 @@
-"""Describe the step from one text to another by edits of lines."""
+"""Compute and apply line edits between two texts."""
 
 from __future__ import annotations
 
@@ -8,22 +8,23 @@
 import msgspec
 import xxhash
 
-# Beyond this many pairs of lines a careful comparison costs more time than
-# the bytes are worth, and the differing middle is replaced as a whole.
+# With more pairs of lines to compare, finding a minimal difference takes more
+# time than the bytes it saves are worth, so all lines between the common
+# beginning and the common end are replaced.
 _MAX_COMPARED_PAIRS = 250_000
 
 
 class LineEdit(msgspec.Struct, frozen=True, array_like=True):
-    """Replace some lines of the older text.
+    """Replacement of consecutive lines of the older text.
 
     Parameters
     ----------
     start
         Zero-based number of the first line that is replaced.
     removed
-        How many lines go.
+        Number of lines that are removed.
     added
-        The lines that come, each with its line end.
+        Lines inserted in their place, each with its line ending.
     """
 
     start: int
@@ -32,12 +33,12 @@
 
 
 def split_lines(text: str) -> list[str]:
-    """Split a text into lines that keep their ends."""
+    """Split a text into lines, keeping the line endings."""
     return text.splitlines(keepends=True)
 
 
 def checksum_of(text: str) -> int:
-    """Return the 64-bit checksum by which two copies are compared."""
+    """Return the 64-bit XXH3 checksum of a text."""
     return xxhash.xxh3_64_intdigest(text.encode())
 
 
@@ -55,7 +56,7 @@
     Returns
     -------
     tuple of LineEdit
-        Edits in rising order of ``start``, which counts lines of ``old``.
+        Edits in ascending order of ``start``, a line number in ``old``.
     """
     head = _common_head(old, new)
     tail = _common_tail(old, new, head)
@@ -82,20 +83,20 @@
     old: Sequence[str],
     edits: Sequence[LineEdit],
 ) -> list[str]:
-    """Return the lines that edits make of older ones.
+    """Apply edits to the lines of a text.
 
     Parameters
     ----------
     old
         Lines of the older text.
     edits
-        Edits in rising order.
+        Edits in ascending order of ``start``.
 
     Returns
     -------
     list of str
-        Lines of the newer text.  Edits made for another text give a wrong
-        one, so compare its checksum.
+        Lines of the newer text.  Edits computed for a different text give a
+        wrong result without an error, so callers compare the checksum.
     """
     new: list[str] = []
     done = 0
--- a/src/wigeonreach/rollout/_follower.py
+++ b/src/wigeonreach/rollout/_follower.py
@@ -1,4 +1,7 @@
-"""Decide what a follower does with what its source sends."""
+"""Track the configuration text of a follower and the health of its source.
+
+A source is the replica or process from which a follower receives versions.
+"""
 
 from __future__ import annotations
 
@@ -23,7 +26,7 @@
 
 
 class SourceFault(enum.StrEnum):
-    """Why a source should be left for another one."""
+    """Why a follower should switch to another source."""
 
     SILENT = 'silent'
     UNCONFIRMED = 'unconfirmed'
@@ -32,10 +35,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FollowerLimits:
-    """When a source is left, in seconds.
+    """Time limits after which a follower switches sources, in seconds.
 
-    ``silent_s`` counts from its last message, the others from when the
-    source was chosen: a healthy one needs a moment to show that it is.
+    ``silent_s`` is measured from the source's last message.  The others
+    start when the source is chosen, since a healthy source needs some time
+    to show that it is confirmed and up to date.
     """
 
     silent_s: float = 2.5
@@ -45,14 +49,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Hold:
-    """Keep a newer copy and put it in force."""
+    """Put a newer copy in force; the follower already holds it."""
 
     copy: TextCopy
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SendNeed:
-    """Ask the source for what differs."""
+    """Ask the source for the sections that differ."""
 
     need: ConfigNeed
 
@@ -63,16 +67,16 @@
 
 
 class Follower:
-    """The copy held, how fresh it is, and how the source behaves.
+    """State of one follower: its copy, its freshness and its source.
 
     Parameters
     ----------
     limits
-        When a source is left.
+        Time limits after which the source counts as faulty.
     """
 
     def __init__(self, limits: FollowerLimits | None = None) -> None:
-        """Hold nothing yet."""
+        """Start with the empty version and without a source."""
         self._limits = limits or FollowerLimits()
         self.held = EMPTY_COPY
         self._confirmed_s = -math.inf
@@ -82,14 +86,20 @@
         self._source_confirmed_s = -math.inf
 
     def choose_source(self, now_s: float) -> None:
-        """Begin to judge a new source."""
+        """Start monitoring a newly chosen source.
+
+        Parameters
+        ----------
+        now_s
+            Monotonic time in seconds.
+        """
         self._chosen_s = now_s
         self._heard_s = now_s
         self._source_version = 0
         self._source_confirmed_s = -math.inf
 
     def confirmed_age_s(self, now_s: float) -> float:
-        """Return how long ago the copy held was known to be the newest."""
+        """Return seconds since the held copy was last confirmed the newest."""
         return now_s - self._confirmed_s
 
     def on_message(
@@ -97,7 +107,7 @@
         message: SourceMessage,
         now_s: float,
     ) -> tuple[Effect, ...]:
-        """Take one message of the source.
+        """Handle a message of the source.
 
         Parameters
         ----------
@@ -109,7 +119,7 @@
         Returns
         -------
         tuple of Effect
-            What to do, in order.
+            Actions for the caller, in order.
         """
         self._heard_s = now_s
         match message:
@@ -120,18 +130,18 @@
         return self._on_sections(message)
 
     def on_peer_sections(self, message: ConfigSections) -> tuple[Effect, ...]:
-        """Take what a peer of the zone holds, if it is newer.
+        """Install the copy of a peer in the same zone, if it is newer.
 
         Parameters
         ----------
         message
-            The peer's answer; one that does not fit any more is ignored,
-            since a peer is asked again and again.
+            The peer's answer.  One that no longer matches the held copy is
+            ignored, since peers are asked repeatedly.
 
         Returns
         -------
         tuple of Effect
-            What to do.
+            Actions for the caller.
         """
         if message.version <= self.held.version:
             return _NOTHING
@@ -141,7 +151,7 @@
             return _NOTHING
 
     def source_fault(self, now_s: float) -> SourceFault | None:
-        """Return why the source should be left, or None.
+        """Return why the follower should switch to another source.
 
         Parameters
         ----------
@@ -151,7 +161,7 @@
         Returns
         -------
         SourceFault or None
-            The first fault found.
+            The first fault found, or None if the source is healthy.
         """
         limits = self._limits
         watched_s = now_s - self._chosen_s
@@ -168,14 +178,15 @@
     def _on_beat(self, beat: ConfigBeat) -> tuple[Effect, ...]:
         self._source_version = beat.version
         if beat.confirmed_age_s >= 0 and beat.echo_s >= 0:
-            # Not counted from the arrival: a beat may be held up for long.
+            # ``echo_s`` is the follower's own clock, returned by the source.
+            # The arrival time would be wrong if the message was delayed.
             self._source_confirmed_s = beat.echo_s - beat.confirmed_age_s
         if beat.version < self.held.version:
             return _NOTHING
         if beat.checksum != self.held.checksum:
             return (SendNeed(self._need()),)
         if beat.version > self.held.version:
-            # The same text under a newer number: nothing has to be sent.
+            # The same text under a newer version: nothing has to be sent.
             newer = dataclasses.replace(self.held, version=beat.version)
             return self._hold(newer)
         self._confirmed_s = max(self._confirmed_s, self._source_confirmed_s)
--- a/src/wigeonreach/rollout/_sections.py
+++ b/src/wigeonreach/rollout/_sections.py
@@ -1,4 +1,4 @@
-"""Cut a text at its table headers, to compare and to describe parts of it."""
+"""Split a TOML text at its table headers, to compare and describe sections."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def split_sections(text: str) -> tuple[str, ...]:
-    """Cut a text in front of each line that opens a table.
+    """Split a text before each line that starts with a table header.
 
     Parameters
     ----------
@@ -21,7 +21,7 @@
     Returns
     -------
     tuple of str
-        The parts; joined they are the text again.
+        The sections; joining them gives the text again.
     """
     sections: list[list[str]] = [[]]
     for line in split_lines(text):
@@ -32,12 +32,12 @@
 
 
 def join_sections(sections: Sequence[str]) -> str:
-    """Put the parts of a text together."""
+    """Join the sections of a text."""
     return ''.join(sections)
 
 
 def describe_changes(old: str, new: str) -> tuple[str, ...]:
-    """Tell what differs between two texts, one service or pool a line.
+    """Summarize the differences between two texts, one string per table.
 
     Parameters
     ----------
@@ -48,8 +48,8 @@
     -------
     tuple of str
         Such as ``services.records: -promised_slots = 4; +promised_slots = 8``.
-        It compares lines, not values, so that each replica tells the same
-        whatever release it runs.
+        Lines are compared, not parsed values, so that replicas of different
+        releases produce the same summary.
     """
     before = _by_subject(old)
     after = _by_subject(new)
@@ -68,7 +68,7 @@
 
 
 def _subject(section: str) -> str:
-    # ``[services.records.budget]`` belongs to ``services.records``.
+    # ``[services.records.budget]`` is summarized under ``services.records``.
     if not section.startswith('['):
         return _PREAMBLE
     header = section.split(']', maxsplit=1)[0].strip('[ ')
@@ -92,7 +92,7 @@
 
 
 def _lines(sections: list[str], others: list[str]) -> list[str]:
-    """Return the lines of those sections that the other text lacks."""
+    """Return the lines of the sections that the other text does not have."""
     return [
         line.strip()
         for section in sections
--- a/src/wigeonreach/state/__init__.py
+++ b/src/wigeonreach/state/__init__.py
@@ -1,4 +1,4 @@
-"""Keep the accepted text durably on a quorum of disks."""
+"""Replicated state: configuration texts, waves, VM ownership and leases."""
 
 from wigeonreach.agreement import ReplicaSettings
 from wigeonreach.state._client import StateAccess, StateClient
--- a/src/wigeonreach/state/_client.py
+++ b/src/wigeonreach/state/_client.py
@@ -1,4 +1,4 @@
-"""Submit commands and ask questions, whichever replica is alive."""
+"""Client of the replicated state: submits commands and reads records."""
 
 from __future__ import annotations
 
@@ -27,7 +27,8 @@
 _REPLY_TIMEOUT_S = 3.0
 _RETRY_S = 0.1
 _GIVE_UP_S = 8.0
-# Well before the table of results has moved on by itself.
+# Far below the time in which other commands displace a revision from the
+# table of known results (see ``Limits.result_age``).
 _REVISION_FRESH_S = 30.0
 _Answer = TypeVar('_Answer', bound=WireMessage)
 _Envelope = TypeVar('_Envelope', Submitted, Answered)
@@ -35,14 +36,14 @@
 
 
 class StateAccess(Protocol):
-    """What managers and operators need of the durable state."""
+    """Access to the replicated state, for managers and operators."""
 
     async def submit(
         self,
         action: Action,
         command_id: str | None = None,
     ) -> Reply:
-        """Have an action done once; refusals are in the reply's code."""
+        """Execute an action once; the reply's code tells if it was refused."""
 
     async def read(
         self,
@@ -51,22 +52,22 @@
         *,
         is_local: bool = False,
     ) -> _Answer:
-        """Ask a question, and a quorum first unless ``is_local``."""
+        """Read records; unless ``is_local``, confirmed with a quorum first."""
 
 
 class StateClient:
-    """Talk to the replicas; a command is resent until its reply is known.
+    """Client of the replicas; resends a command until its reply is known.
 
     Parameters
     ----------
     author
         Name under which commands are recorded.
     replicas
-        Whom to ask, in this order.
+        Replicas to contact, tried in this order.
     now_s
-        Unix time in seconds, for what commands carry.
+        Clock that stamps commands, Unix time in seconds.
     give_up_s
-        How long to try in all, in seconds.
+        Total time in seconds after which a request fails.
     """
 
     def __init__(
@@ -76,7 +77,7 @@
         now_s: Callable[[], float] = time.time,
         give_up_s: float = _GIVE_UP_S,
     ) -> None:
-        """Connect to nothing yet."""
+        """Create a client; connections are opened for each request."""
         self._author = author
         self._replicas = tuple(replicas)
         self._now_s = now_s
@@ -89,24 +90,26 @@
         action: Action,
         command_id: str | None = None,
     ) -> Reply:
-        """Have an action done once.
+        """Execute an action once.
 
         Parameters
         ----------
         action
-            What to do.
+            The action.
         command_id
-            Id of the command; give the same to resend it by hand.
+            Id of the command; pass the id of an earlier command to resend
+            it.  A new id is generated if it is left out.
 
         Returns
         -------
         Reply
-            What became of it; refusals are in its code.
+            The outcome; its code tells whether the action was refused.
 
         Raises
         ------
         StateError
-            If no replica told in time; it may or may not have been done.
+            If no replica replied in time; the action may or may not have
+            been executed.
         """
         await self._refresh_revision()
         command = Command(
@@ -119,12 +122,13 @@
         return await self.send(command)
 
     async def send(self, command: Command) -> Reply:
-        """Send a command as it is, again and again until its reply comes.
+        """Send an unchanged command repeatedly until its reply arrives.
 
         Raises
         ------
         StateError
-            If no replica told in time; it may or may not have been done.
+            If no replica replied in time; the command may or may not have
+            been executed.
         """
         submit = Submit(msgspec.msgpack.encode(command))
         submitted = await self._until_done(submit, Submitted)
@@ -139,16 +143,17 @@
         *,
         is_local: bool = False,
     ) -> _Answer:
-        """Ask a question.
+        """Read records.
 
         Parameters
         ----------
         question
-            What to ask.
+            The records to read.
         answer_type
             Type of the answer.
         is_local
-            Whether a replica may answer without asking a quorum.
+            Whether a replica may answer without confirming with a quorum
+            that its state is current.
 
         Returns
         -------
@@ -169,7 +174,7 @@
     async def _refresh_revision(self) -> None:
         age_s = self._now_s() - self._revision_read_s
         if age_s > _REVISION_FRESH_S:
-            # The cheapest question; only the revision of its answer counts.
+            # The cheapest question; only the revision in its answer is used.
             question = Ask(ReadLease(''))
             answered = await self._until_done(question, Answered)
             self._note_revision(answered.revision)
--- a/src/wigeonreach/state/_feed.py
+++ b/src/wigeonreach/state/_feed.py
@@ -1,4 +1,4 @@
-"""Choose what brings a follower to the newest version."""
+"""Build the deltas and sections that update followers."""
 
 from __future__ import annotations
 
@@ -16,18 +16,19 @@
 
 
 class Feed:
-    """The newest text of a replica and the ways to it from older ones.
+    """The newest text of a replica, and deltas to it from older versions.
 
-    Many followers hold the same version, so each way is worked out once.
+    Many followers hold the same version, so each delta is computed once and
+    cached.
     """
 
     def __init__(self) -> None:
-        """Start before the first version."""
+        """Start with version 0, the empty text."""
         self._newest = make_copy(0, '')
         self._steps: dict[tuple[int, int], ConfigDelta | None] = {}
 
     def newest(self, state: MachineState) -> TextCopy:
-        """Return the newest copy that this replica has applied."""
+        """Return the newest version that this replica has applied."""
         accepted = state.accepted
         if accepted.version != self._newest.version:
             self._newest = make_copy(accepted.version, accepted.text)
@@ -40,20 +41,21 @@
         version: int,
         checksum: int,
     ) -> ConfigDelta | None:
-        """Return the step from a version to the newest one.
+        """Return the delta from a version to the newest one.
 
         Parameters
         ----------
         state
             The state that holds the texts.
         version, checksum
-            What the follower holds.
+            The version that the follower holds, and the checksum of its text.
 
         Returns
         -------
         ConfigDelta or None
-            None if that version is forgotten or was another text, and for
-            version 0: the whole text goes out compressed, not as a delta.
+            None if that version is no longer remembered or its text has
+            another checksum, and for version 0, which needs the whole text:
+            that is sent compressed, not as a delta.
         """
         if version == 0:
             return None
--- a/src/wigeonreach/state/_front.py
+++ b/src/wigeonreach/state/_front.py
@@ -1,4 +1,4 @@
-"""Answer everybody who is no replica: operators, managers and entries."""
+"""Handle requests of clients: operators, managers and entry processes."""
 
 from __future__ import annotations
 
@@ -49,12 +49,12 @@
 
 
 class Front(mode.Service):
-    """Take commands and questions, and push texts to followers.
+    """Handles commands and reads, and pushes new versions to followers.
 
     Parameters
     ----------
     settings
-        Who this replica is.
+        Name and zone of this replica.
     agreement
         The replicated log.
     machine
@@ -70,7 +70,7 @@
         machine: Machine,
         logger: Logger,
     ) -> None:
-        """Serve nobody yet."""
+        """Start without subscriptions."""
         super().__init__()
         self._settings = settings
         self._agreement = agreement
@@ -84,19 +84,19 @@
         self._subscriptions: list[Subscription] = []
 
     async def handle(self, channel: Channel, message: Message) -> bool:
-        """Handle one message, if it is not one between replicas.
+        """Handle a message of a client.
 
         Parameters
         ----------
         channel
-            Where it came from and where the reply goes.
+            Connection that it arrived on and that the reply is sent on.
         message
             The message.
 
         Returns
         -------
         bool
-            Whether the message was handled.
+            Whether the message is one that clients send.
         """
         match message:
             case Submit():
@@ -112,11 +112,11 @@
         return True
 
     def newest(self) -> TextCopy:
-        """Return the newest copy that is applied here."""
+        """Return the newest version that is applied here."""
         return self._feed.newest(self._machine.state)
 
     def step(self, version: int, checksum: int) -> ConfigDelta | None:
-        """Return the step from a version to the newest."""
+        """Return the delta from a version to the newest, if there is one."""
         return self._feed.step(self._machine.state, version, checksum)
 
     def missing(self, need: ConfigNeed) -> ConfigSections:
@@ -124,13 +124,13 @@
         return self._feed.missing(self._machine.state, need)
 
     def confirmed_age_s(self) -> float:
-        """Return how long ago a quorum confirmed; negative if it never did."""
+        """Return seconds since a quorum confirmed; -1 if it never did."""
         if self._confirmed_s == -math.inf:
             return -1
         return time.monotonic() - self._confirmed_s
 
     async def wait_newer(self, version: int, timeout_s: float) -> None:
-        """Wait for a newer version, but no longer than the timeout."""
+        """Wait for a newer version, at most ``timeout_s`` seconds."""
         accepted = self._machine.state.accepted
         if accepted.version > version:
             return
@@ -139,7 +139,7 @@
                 await self._moved.wait()
 
     def forget(self, process: str) -> None:
-        """Note that a process ended for good."""
+        """Remove a process that ended for good from the registered ones."""
         self.add_future(self._propose_quietly(ForgetProcess(process)))
 
     @mode.Service.task
@@ -149,7 +149,8 @@
             with contextlib.suppress(StateError, TimeoutError):
                 async with asyncio.timeout(_CONFIRM_TIMEOUT_S):
                     await self._agreement.read_barrier()
-                # All that was accepted before the question is applied here.
+                # Everything accepted before the read barrier started is
+                # applied here, so the start is the time that counts.
                 self._confirmed_s = started_s
             await self.sleep(_CONFIRM_S)
 
@@ -177,7 +178,8 @@
         return await self._propose(command)
 
     async def _propose(self, command: Command) -> Submitted:
-        # A sender whose clock is ahead must not end everybody's leases.
+        # Commands advance the clock of the replicated state.  A sender whose
+        # clock is ahead would otherwise expire all leases.
         stamped = msgspec.structs.replace(
             command,
             at_s=min(command.at_s, time.time()),
@@ -196,8 +198,9 @@
         if not isinstance(action, ChangeText):
             return action
         accepted = self._machine.state.accepted
-        # In a thread, since comparing large texts takes milliseconds.  What
-        # was accepted meanwhile makes it a conflict, as it would have anyway.
+        # In a thread, since comparing large texts takes milliseconds.  A
+        # change accepted in the meantime causes a conflict, as it would for
+        # the original command.
         base = AcceptedState(accepted.version, accepted.text)
         return await asyncio.to_thread(as_edits, action, base)
 
@@ -216,7 +219,7 @@
         )
 
     async def _fault(self, command: Command) -> Reply | None:
-        """Return the refusal of a text that does not hold together."""
+        """Return the refusal of an invalid text, or None if it is valid."""
         if not isinstance(command.action, ChangeText):
             return None
         try:
@@ -232,8 +235,8 @@
         return None
 
     async def _read_text(self, text: str) -> None:
-        # In a thread, so that a large text delays no heartbeat; one at a
-        # time, because the reader keeps what the last text had in common.
+        # In a thread, so that a large text does not delay heartbeats; one at
+        # a time, because the reader reuses parts of the previous text.
         async with self._reading:
             await asyncio.to_thread(self._reader.read, text)
 
--- a/src/wigeonreach/state/_holding.py
+++ b/src/wigeonreach/state/_holding.py
@@ -1,10 +1,11 @@
-"""Act on a VM only while its lease surely runs, and never after a newer owner.
+"""Leases and fencing tokens that keep two owners from acting on one VM.
 
-The two checks belong together.  The holder stops by its own clock, counted
-from before it asked, so that it stops no later than the state lets the lease
-end.  A process may still be paused between that check and its act; therefore
-whatever acts on the VM admits only the newest token it was shown, and a new
-owner shows its token before it first uses the VM.
+Both checks are needed.  A holder measures its lease on its own clock, from
+before it requested the lease, so that it stops no later than the lease expires
+in the replicated state.  A process may still be paused between that check and
+its action.  Therefore whatever carries out actions on a VM admits only the
+highest token it was shown, and a new owner shows its token before it first
+uses the VM.
 """
 
 from __future__ import annotations
@@ -14,17 +15,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Holding:
-    """A granted VM or lease, as its holder knows it.
+    """A lease on a VM or a name, as its holder knows it.
 
     Parameters
     ----------
     token
-        Token of the grant.
+        Fencing token of the grant.
     asked_s
         Monotonic time in seconds just before the grant or its last renewal
-        was asked for.
+        was requested.
     lease_s
-        For how many seconds it was asked.
+        Requested duration in seconds.
     """
 
     token: int
@@ -32,35 +33,35 @@
     lease_s: float
 
     def may_act(self, now_s: float, margin_s: float = 0) -> bool:
-        """Whether the lease surely runs for another ``margin_s`` seconds."""
+        """Whether the lease is valid for at least ``margin_s`` more seconds."""
         return now_s + margin_s < self.asked_s + self.lease_s
 
     def renewed(self, asked_s: float) -> Holding:
-        """Return the holding after a renewal asked for at a time."""
+        """Return the lease after a renewal requested at ``asked_s``."""
         return dataclasses.replace(self, asked_s=asked_s)
 
 
 class Fence:
-    """Highest token shown for each VM, kept where acts on it arrive."""
+    """Rejects actions with outdated tokens, by the highest seen for each VM."""
 
     def __init__(self) -> None:
-        """Admit any first token."""
+        """Start without tokens; the first one of each VM is admitted."""
         self._tokens: dict[str, int] = {}
 
     def admit(self, vm: str, token: int) -> bool:
-        """Tell whether an act may pass, and refuse older tokens from now on.
+        """Check a token and refuse older ones from now on.
 
         Parameters
         ----------
         vm
-            The VM that is acted on.
+            Name of the VM.
         token
-            Token of whoever acts.
+            Fencing token of the process that acts on it.
 
         Returns
         -------
         bool
-            False if a newer token was shown before.
+            False if a higher token was seen before.
         """
         if token < self._tokens.get(vm, 0):
             return False
--- a/src/wigeonreach/state/_machine.py
+++ b/src/wigeonreach/state/_machine.py
@@ -1,4 +1,4 @@
-"""Apply agreed commands to the state, the same way on every replica."""
+"""Apply committed commands to the state, identically on every replica."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from wigeonreach.wire._command_messages import Command, Reply
 from wigeonreach.wire._state_messages import Answer, Question
 
-# Importing a module registers what it does with commands and questions.
+# Importing these modules registers their handlers of actions and questions.
 HANDLERS = (
     _machine_leases,
     _machine_processes,
@@ -37,28 +37,28 @@
     Parameters
     ----------
     limits
-        How much is remembered; the same on every replica.
+        How much the state remembers; must be the same on every replica.
     """
 
     def __init__(self, limits: Limits = _DEFAULT_LIMITS) -> None:
-        """Start with nothing accepted."""
+        """Start with an empty state."""
         self._limits = limits
         self.state = MachineState()
 
     def apply(self, index: int, command: bytes) -> bytes:
-        """Apply one agreed command.
+        """Apply a committed command.
 
         Parameters
         ----------
         index
-            Its place in the log.
+            Index of the command in the log.
         command
             An encoded ``Command``.
 
         Returns
         -------
         bytes
-            An encoded ``Reply``; nothing is raised, whatever the bytes.
+            An encoded ``Reply``; malformed bytes get a refusal, not an error.
         """
         self.state.revision += 1
         try:
@@ -68,25 +68,25 @@
         return msgspec.msgpack.encode(self._apply(decoded))
 
     def snapshot(self) -> bytes:
-        """Return the whole state."""
+        """Return the whole state, encoded."""
         return msgspec.msgpack.encode(self.state)
 
     def restore(self, snapshot: bytes) -> None:
-        """Replace the whole state by that of a snapshot.
+        """Replace the whole state with that of a snapshot.
 
         Raises
         ------
         msgspec.MsgspecError
-            If the bytes are no snapshot.
+            If the bytes are not a snapshot.
         """
         self.state = _STATE_DECODER.decode(snapshot)
 
     def query(self, question: Question) -> Answer:
-        """Answer a question without changing anything."""
+        """Answer a question without changing the state."""
         return answer(question, self.state)
 
     def known_reply(self, command: Command) -> Reply | None:
-        """Return the reply that a resent command has already."""
+        """Return the reply to a command that must not be executed again."""
         return earlier_reply(Context(self.state, self._limits, command))
 
     def _apply(self, command: Command) -> Reply:
--- a/src/wigeonreach/state/_machine_dispatch.py
+++ b/src/wigeonreach/state/_machine_dispatch.py
@@ -1,4 +1,4 @@
-"""Choose by type what a command does and how a question is answered."""
+"""Dispatch actions and questions to their handlers by type."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Context:
-    """What an action works on: the state, its limits and the command."""
+    """What a handler works with: the state, its limits and the command."""
 
     state: MachineState
     limits: Limits
     command: Command
 
     def done(self, version: int = 0, token: int = 0) -> Reply:
-        """Build the reply to a command that was done."""
+        """Return the reply to a command that was executed."""
         return Reply(ResultCode.OK, '', self.state.revision, version, token)
 
     def refused(
@@ -29,25 +29,25 @@
         detail: str,
         version: int = 0,
     ) -> Reply:
-        """Build the reply to a command that changed nothing."""
+        """Return the reply to a command that was refused."""
         return Reply(int(code), detail, self.state.revision, version)
 
 
 @functools.singledispatch
 def perform(action: Action, context: Context) -> Reply:
-    """Do what a command asks.
+    """Execute the action of a command.
 
     Parameters
     ----------
     action
-        What to do; its type chooses the function.
+        The action; its type selects the handler.
     context
-        What it works on.
+        The state, its limits and the command.
 
     Returns
     -------
     Reply
-        What became of it.
+        The outcome.
     """
     return context.refused(ResultCode.WIRE_MALFORMED, type(action).__name__)
 
@@ -59,9 +59,9 @@
     Parameters
     ----------
     question
-        The question; its type chooses the function.
+        The question; its type selects the handler.
     state
-        All state.
+        The replicated state.
 
     Returns
     -------
--- a/src/wigeonreach/state/_machine_leases.py
+++ b/src/wigeonreach/state/_machine_leases.py
@@ -1,4 +1,4 @@
-"""Grant named leases, each grant with a higher token."""
+"""Grant named leases, each with a higher fencing token than the one before."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 
 @perform.register
 def acquire_lease(action: AcquireLease, context: Context) -> Reply:
-    """Grant a lease that is free, ended or held by the same holder."""
+    """Grant a lease that is free, expired or held by the same holder."""
     state = context.state
     known = state.leases.get(action.name) or _never_held(action.name)
     is_held = bool(known.holder) and known.ends_s > state.clock_s
     if is_held and known.holder != action.holder:
         return _refused(context, known)
-    # The holder itself gets a new token too: an older process of the same
+    # The current holder gets a new token too: an older process of the same
     # name may still be running.
     granted = LeaseRecord(
         name=action.name,
@@ -38,7 +38,7 @@
 
 @perform.register
 def renew_lease(action: RenewLease, context: Context) -> Reply:
-    """Prolong a lease that has not ended."""
+    """Extend a lease that has not expired."""
     state = context.state
     known = state.leases.get(action.name) or _never_held(action.name)
     if not _is_holder(known, action) or known.ends_s <= state.clock_s:
@@ -52,7 +52,7 @@
 
 @perform.register
 def release_lease(action: ReleaseLease, context: Context) -> Reply:
-    """Free a lease; its token stays used."""
+    """Release a lease; its token is not granted again."""
     state = context.state
     known = state.leases.get(action.name) or _never_held(action.name)
     if not _is_holder(known, action):
@@ -63,7 +63,7 @@
 
 @answer.register
 def read_lease(question: ReadLease, state: MachineState) -> LeaseRecord:
-    """Return who holds a lease."""
+    """Return the record of a lease."""
     return state.leases.get(question.name) or _never_held(question.name)
 
 
--- a/src/wigeonreach/state/_machine_processes.py
+++ b/src/wigeonreach/state/_machine_processes.py
@@ -1,4 +1,4 @@
-"""Remember which processes follow the accepted text."""
+"""Register the processes that follow the configuration text."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @perform.register
 def register_process(action: RegisterProcess, context: Context) -> Reply:
-    """Remember a process; one not heard of for a day is dropped."""
+    """Register a process, and drop those not registered again for a day."""
     state = context.state
     state.processes[action.process] = ProcessRecord(
         action.process,
@@ -38,7 +38,7 @@
 
 @perform.register
 def forget_process(action: ForgetProcess, context: Context) -> Reply:
-    """Drop a process that is gone for good."""
+    """Remove a process that ended for good."""
     context.state.processes.pop(action.process, None)
     return context.done()
 
@@ -48,7 +48,7 @@
     _question: ReadProcesses,
     state: MachineState,
 ) -> Processes:
-    """Return the processes by name."""
+    """Return all registered processes, sorted by name."""
     return Processes(
         tuple(record for _, record in sorted(state.processes.items())),
     )
--- a/src/wigeonreach/state/_machine_results.py
+++ b/src/wigeonreach/state/_machine_results.py
@@ -1,4 +1,4 @@
-"""Give a resent command its first reply."""
+"""Deduplicate commands: a resent command gets its first reply."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 )
 
 _TEXTS = (ChangeText, EditText, RestoreText)
-# Doing one of these twice is the same as doing it once.
+# Idempotent actions; their replies need not be remembered.
 _REPEATABLE = (ForgetProcess, RegisterProcess, RenewLease, RenewVm)
 
 
 def earlier_reply(context: Context) -> Reply | None:
-    """Return the reply that a command must get without being done.
+    """Return the reply to a command that must not be executed.
 
     Parameters
     ----------
@@ -32,8 +32,8 @@
     Returns
     -------
     Reply or None
-        The first reply to a resend; a refusal of a command so old that its
-        reply may be forgotten; None if the command is to be done.
+        The first reply if the command was resent; a refusal if it is so old
+        that its reply may have been dropped; None if it is to be executed.
     """
     command = context.command
     if isinstance(command.action, _REPEATABLE):
@@ -52,14 +52,14 @@
 
 
 def remember_reply(context: Context, reply: Reply) -> None:
-    """Keep a reply for resends and drop those that are too old.
+    """Store a reply in case the command is resent, and drop old replies.
 
     Parameters
     ----------
     context
         The command and the state.
     reply
-        Its reply.
+        The reply to the command.
     """
     state = context.state
     command = context.command
--- a/src/wigeonreach/state/_machine_state.py
+++ b/src/wigeonreach/state/_machine_state.py
@@ -1,4 +1,4 @@
-"""Hold all state that survives, in a form that a snapshot can carry."""
+"""Records of the replicated state, as they are stored in snapshots."""
 
 from __future__ import annotations
 
@@ -16,7 +16,12 @@
 
 
 class Limits(msgspec.Struct, frozen=True):
-    """How much the state remembers."""
+    """How much the state remembers.
+
+    ``history`` and ``history_bytes`` limit the past versions of the text,
+    ``results`` and ``result_age`` (in revisions) the replies to commands,
+    ``ended_waves`` the waves that ended.
+    """
 
     history: int = 4096
     history_bytes: int = 4 * 1024 * 1024
@@ -26,7 +31,7 @@
 
 
 class PastVersion(msgspec.Struct, frozen=True, array_like=True):
-    """One accepted version and the edits back to the one before it."""
+    """One accepted version and the edits that restore the one before it."""
 
     entry: HistoryEntry
     back_edits: tuple[LineEdit, ...]
@@ -34,7 +39,7 @@
 
 
 class AcceptedState(msgspec.Struct):
-    """The accepted text and how it came about, oldest version first."""
+    """The newest accepted text and its past versions, oldest first."""
 
     version: int = 0
     text: str = ''
@@ -43,10 +48,10 @@
 
 
 class KnownResult(msgspec.Struct, frozen=True, array_like=True):
-    """The reply to a command, and when it was given.
+    """The reply to a command, and the revision at which it was executed.
 
-    ``text_version`` is the version that an accepted change of the text made,
-    and 0 for every other command.
+    ``text_version`` is the version that an accepted change of the text
+    created, and 0 for every other command.
     """
 
     revision: int
@@ -55,10 +60,10 @@
 
 
 class ResultTable(msgspec.Struct):
-    """Replies to recent commands by id, oldest first.
+    """Replies to recent commands by command id, oldest first.
 
     ``forgotten_revision`` is the highest revision whose reply was dropped,
-    ``forgotten_version`` the highest version of the text among those.
+    ``forgotten_version`` the highest text version among the dropped replies.
     """
 
     results: dict[str, KnownResult] = {}
@@ -67,10 +72,11 @@
 
 
 class MachineState(msgspec.Struct):
-    """All state that survives.
+    """The whole replicated state.
 
-    ``clock_s`` is the highest time that a command carried, in seconds of Unix
-    time; ``vm_token`` is the newest token that was granted for any VM.
+    ``revision`` counts applied commands; ``clock_s`` is the latest time that a
+    command carried, Unix time in seconds; ``vm_token`` is the highest token
+    that was granted for any VM.
     """
 
     revision: int = 0
--- a/src/wigeonreach/state/_machine_texts.py
+++ b/src/wigeonreach/state/_machine_texts.py
@@ -1,4 +1,4 @@
-"""Accept texts, remember old ones and restore them."""
+"""Accept configuration texts, keep past versions and restore them."""
 
 from __future__ import annotations
 
@@ -44,19 +44,19 @@
 
 
 def text_of(accepted: AcceptedState, version: int) -> str | None:
-    """Return the text of a version, or None if it is not remembered.
+    """Return the text of a version.
 
     Parameters
     ----------
     accepted
-        The accepted text and its past.
+        The newest text and its past versions.
     version
         The version; 0 is the empty text before the first change.
 
     Returns
     -------
     str or None
-        The text.
+        The text, or None if the version is not remembered.
     """
     steps = accepted.version - version
     if steps < 0 or steps > len(accepted.past):
@@ -76,7 +76,7 @@
 
 @perform.register
 def edit_text(action: EditText, context: Context) -> Reply:
-    """Accept the edited text of the newest version."""
+    """Accept a text that is given as edits of the newest version."""
     refusal = _review(context, action.base_version)
     if refusal is not None:
         return refusal
@@ -92,19 +92,19 @@
 
 
 def as_edits(action: ChangeText, accepted: AcceptedState) -> Action:
-    """Return a change as edits of the text that it is based on.
+    """Convert a change of the text into edits, which are smaller.
 
     Parameters
     ----------
     action
         The change, with its whole text.
     accepted
-        The text accepted here.
+        The newest text on this replica.
 
     Returns
     -------
     Action
-        The edits, or the change itself if its base is not accepted here.
+        The edits, or the change itself if it is based on another version.
     """
     if action.base_version != accepted.version:
         return action
@@ -115,7 +115,7 @@
 
 @perform.register
 def restore_text(action: RestoreText, context: Context) -> Reply:
-    """Accept an old text again, under a new version."""
+    """Accept the text of a past version again, as a new version."""
     accepted = context.state.accepted
     refusal = _review(context, action.base_version)
     if refusal is not None:
@@ -133,7 +133,7 @@
 
 @answer.register
 def read_accepted(question: ReadAccepted, state: MachineState) -> AcceptedText:
-    """Return the newest text, or that of the version asked for."""
+    """Return the newest text, or the text of the requested version."""
     accepted = state.accepted
     wanted = question.version or accepted.version
     text = text_of(accepted, wanted)
@@ -144,7 +144,7 @@
 
 @answer.register
 def read_history(question: ReadHistory, state: MachineState) -> History:
-    """Return who changed what, newest first."""
+    """Return the changes of the text, newest first."""
     newest_first = itertools.islice(
         reversed(state.accepted.past),
         question.limit,
--- a/src/wigeonreach/state/_machine_vms.py
+++ b/src/wigeonreach/state/_machine_vms.py
@@ -1,4 +1,4 @@
-"""Let each VM belong to one pool at any moment."""
+"""Track VM ownership, so that each VM belongs to one pool at a time."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @perform.register
 def grant_vm(action: GrantVm, context: Context) -> Reply:
-    """Give a VM to a pool, if it is free or its release ran out."""
+    """Grant a VM to a pool, if it is free or its release has expired."""
     state = context.state
     known = state.vms.get(action.vm) or _new(action.vm)
     if _is_expired(known, state.clock_s):
@@ -45,26 +45,26 @@
 
 @perform.register
 def renew_vm(action: RenewVm, context: Context) -> Reply:
-    """Prolong a lease, unless the VM shall be given up."""
+    """Extend a pool's lease on a VM, unless the VM is being released."""
     ends_s = context.state.clock_s + action.lease_s
     return _step(context, action, 'renew', ends_s)
 
 
 @perform.register
 def release_vm(action: ReleaseVm, context: Context) -> Reply:
-    """Ask for a VM back: its lease is not renewed any more."""
+    """Start the release of a VM: its lease can no longer be renewed."""
     return _step(context, action, 'release')
 
 
 @perform.register
 def confirm_release(action: ConfirmRelease, context: Context) -> Reply:
-    """Take a VM back that its pool no longer uses."""
+    """Free a VM whose pool confirms that it no longer uses it."""
     return _step(context, action, 'confirm')
 
 
 @answer.register
 def read_vms(question: ReadVms, state: MachineState) -> Vms:
-    """Return the VMs of one pool or of all, by name."""
+    """Return the VMs of one pool or of all pools, sorted by name."""
     return Vms(
         tuple(
             record
--- a/src/wigeonreach/state/_machine_waves.py
+++ b/src/wigeonreach/state/_machine_waves.py
@@ -1,4 +1,4 @@
-"""Record maintenance waves so that each step is taken once."""
+"""Record maintenance waves, so that each of their steps is taken once."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
 
 @perform.register
 def record_wave(action: RecordWave, context: Context) -> Reply:
-    """Record progress, if nobody else did since the record was read."""
+    """Record progress of a wave, if its record did not change meanwhile."""
     known = context.state.waves.get(action.wave_id)
     if known is None:
         return _unknown(context, action.wave_id)
@@ -74,7 +74,7 @@
 
 @answer.register
 def read_waves(_question: ReadWaves, state: MachineState) -> Waves:
-    """Return all waves that are remembered."""
+    """Return all recorded waves."""
     return Waves(tuple(state.waves.values()))
 
 
--- a/src/wigeonreach/state/_ownership.py
+++ b/src/wigeonreach/state/_ownership.py
@@ -1,4 +1,4 @@
-"""Decide the next step that brings a VM to the pool that shall own it."""
+"""Choose the next command that moves a VM to another pool."""
 
 from __future__ import annotations
 
@@ -14,22 +14,23 @@
     wanted: GrantVm,
     now_s: float,
 ) -> GrantVm | ReleaseVm | None:
-    """Return the command that comes next in a move.
+    """Return the next command of a move.
 
     Parameters
     ----------
     record
-        Who owns the VM, as the state told; None if no pool ever did.
+        The VM's record in the replicated state; None if it has none because
+        no pool ever owned the VM.
     wanted
-        The grant that ends the move.
+        The grant that completes the move.
     now_s
         Unix time in seconds.
 
     Returns
     -------
     GrantVm, ReleaseVm or None
-        None if the move is done, or has to wait until the owner confirms or
-        its lease ends.
+        None if the move is complete, or has to wait until the owner confirms
+        the release or its lease expires.
     """
     if record is None:
         return wanted
--- a/src/wigeonreach/state/_replica.py
+++ b/src/wigeonreach/state/_replica.py
@@ -1,4 +1,4 @@
-"""Serve one replica of the durable state."""
+"""Run one replica of the replicated state."""
 
 from __future__ import annotations
 
@@ -27,18 +27,18 @@
 
 
 class Replica(mode.Service):
-    """Agree with the other replicas, and let the front serve everybody else.
+    """One replica: takes part in the consensus and serves clients.
 
     Parameters
     ----------
     settings
-        Who this replica is.
+        Name, addresses and data folder of this replica.
     logger
         Where events are logged.
     """
 
     def __init__(self, settings: ReplicaSettings, logger: Logger) -> None:
-        """Open the data folder; nothing is served before ``start``."""
+        """Open the data folder; nothing is served until it is started."""
         super().__init__()
         self._settings = settings
         self._log = logger
@@ -59,13 +59,13 @@
         self._server: asyncio.Server | None = None
 
     async def on_start(self) -> None:
-        """Listen and take part in the agreement."""
+        """Join the other replicas and start to listen."""
         await self.add_runtime_dependency(self._agreement)
         await self.add_runtime_dependency(self._front)
         self._server = await serve(self._settings.listen, self._on_channel)
 
     async def drain(self) -> None:
-        """Do nothing: each acknowledged change is synced already."""
+        """Do nothing, since each acknowledged change is already synced."""
 
     async def on_stop(self) -> None:
         """Stop listening."""
@@ -73,7 +73,7 @@
             self._server.close()
 
     async def on_shutdown(self) -> None:
-        """Give the data folder up, once nothing writes to it any more."""
+        """Close the data folder, after the last write to it has finished."""
         self._disk.close()
 
     async def _on_channel(self, channel: Channel) -> None:
@@ -87,6 +87,7 @@
                 await self._front.handle(channel, message)
 
     def _leave(self, error: Exception) -> None:
-        # After a failed sync nothing in memory may be told to anybody.
+        # After a failed sync the state in memory may not be on disk, so the
+        # process ends at once, without answering pending requests.
         self._log.warning(LogEvent.REPLICA_FAILED, reason=repr(error))
         os._exit(ExitCode.FAILED)  # noqa: SLF001, WPS437
--- a/src/wigeonreach/state/_subscription.py
+++ b/src/wigeonreach/state/_subscription.py
@@ -1,4 +1,4 @@
-"""Push versions to one follower over its channel."""
+"""Push new versions to one follower over its connection."""
 
 from __future__ import annotations
 
@@ -19,42 +19,42 @@
     Unfollow,
 )
 
-# How soon the end of a channel is noticed.
+# Upper limit of the time until the end of a connection is noticed.
 _LOOK_S = 1.0
 _NEVER_S = -1.0
 
 
 class TextSource(Protocol):
-    """What a subscription needs of its replica."""
+    """Access of a subscription to the versions of its replica."""
 
     def newest(self) -> TextCopy:
-        """Return the newest copy."""
+        """Return the newest version."""
 
     def step(self, version: int, checksum: int) -> ConfigDelta | None:
-        """Return the step from a version to the newest."""
+        """Return the delta from a version to the newest, if there is one."""
 
     def missing(self, need: ConfigNeed) -> ConfigSections:
         """Return the sections that a follower lacks."""
 
     def confirmed_age_s(self) -> float:
-        """Return how long ago a quorum confirmed the newest copy."""
+        """Return seconds since a quorum confirmed the newest version."""
 
     async def wait_newer(self, version: int, timeout_s: float) -> None:
-        """Wait for a newer version, but no longer than the timeout."""
+        """Wait for a newer version, at most ``timeout_s`` seconds."""
 
     def forget(self, process: str) -> None:
-        """Note that a process ended for good."""
+        """Remove a process that ended for good from the registered ones."""
 
 
 class Subscription:
-    """One follower: what it was sent and what it acts on.
+    """Subscription of one follower: versions sent to it and in force there.
 
     Parameters
     ----------
     channel
-        The connection to it.
+        Connection to the follower.
     follow
-        What it holds to begin with.
+        The request to follow, with the version that the follower holds.
     source
         Where versions come from.
     """
@@ -65,7 +65,7 @@
         follow: Follow,
         source: TextSource,
     ) -> None:
-        """Send nothing yet."""
+        """Create a subscription; nothing is sent before ``run``."""
         self._channel = channel
         self._source = source
         self._sent_version = follow.version
@@ -78,7 +78,7 @@
         )
 
     async def run(self) -> None:
-        """Push until the channel ends."""
+        """Push new versions until the connection ends."""
         reading = asyncio.ensure_future(self._read())
         try:
             await self._push(reading)
@@ -101,7 +101,7 @@
         self._sent_version = newest.version
         self._sent_checksum = newest.checksum
         if step is None:
-            # The follower answers this with what it holds.
+            # The follower then asks for the sections that it lacks.
             self._post_beat()
         else:
             self._channel.post(step)
--- a/tests/builders_state.py
+++ b/tests/builders_state.py
@@ -1,4 +1,4 @@
-"""Build commands and a durable state in memory."""
+"""Commands and a replicated state in memory, for tests."""
 
 from __future__ import annotations
 
@@ -36,14 +36,14 @@
 
 
 class FakeState:
-    """The state without replicas; stands in for ``StateClient``.
+    """A state without replicas, used in place of ``StateClient``.
 
-    ``now_s`` is the clock that commands carry; ``is_reachable`` False makes
-    every call fail as it does without a quorum.
+    ``now_s`` is the time that commands carry, in seconds; while
+    ``is_reachable`` is False every call fails as it does without a quorum.
     """
 
     def __init__(self, author: str = 'amina', limits: Limits | None = None):
-        """Start with nothing accepted."""
+        """Start with an empty state."""
         self.machine = Machine(limits or Limits())
         self.now_s = 1000.0
         self.is_reachable = True
--- a/tests/rollout/test_follower.py
+++ b/tests/rollout/test_follower.py
@@ -1,4 +1,4 @@
-"""Test what a follower makes of its source."""
+"""Test how a follower handles messages and faults of its source."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class TestFollower(testtools.TestCase):
-    """One follower and a replica with three versions."""
+    """A follower of a replica that has accepted three versions."""
 
     def setUp(self) -> None:
         """Accept three texts."""
@@ -44,7 +44,7 @@
         now_s: float,
         held_up_s: float = 0,
     ) -> tuple[Effect, ...]:
-        """Receive a beat of the newest version."""
+        """Receive a heartbeat for the newest version."""
         beat = ConfigBeat(
             self.newest.version,
             self.newest.checksum,
@@ -54,7 +54,7 @@
         return self.follower.on_message(beat, now_s)
 
     def test_delta(self) -> None:
-        """A delta carries what changed and nothing else."""
+        """A delta carries only what changed."""
         old = make_copy(1, self.texts[0])
         self.follower.held = old
 
@@ -66,7 +66,7 @@
         self.assertThat(effects, Equals((Hold(self.newest),)))
 
     def test_other_text(self) -> None:
-        """A copy that went wrong gets the sections that differ."""
+        """A follower with a damaged copy gets the sections that differ."""
         self.follower.held = make_copy(2, f'{SAMPLE_TEXT}# damaged\n')
 
         effect = self.beat(0, 0)[0]
@@ -79,7 +79,7 @@
         self.assertThat(len(sections.packed), LessThan(len(whole.packed)))
 
     def test_older(self) -> None:
-        """A source that is behind changes nothing and is left soon."""
+        """A source that is behind changes nothing and soon counts as faulty."""
         self.follower.held = make_copy(4, SAMPLE_TEXT)
         self.follower.choose_source(now_s=0)
 
@@ -96,7 +96,7 @@
         )
 
     def test_cut_off_source(self) -> None:
-        """A source without a quorum confirms nothing, though it talks."""
+        """A source without a quorum confirms nothing, though it sends."""
         self.follower.held = self.newest
         self.follower.choose_source(now_s=0)
         for now_s in range(1, 5):
@@ -109,7 +109,7 @@
         self.assertThat(self.follower.confirmed_age_s(4), Equals(13))
 
     def test_held_up(self) -> None:
-        """A beat that was held up confirms no more than was true then."""
+        """A delayed heartbeat confirms only what was true when it was sent."""
         self.follower.held = self.newest
         self.follower.choose_source(now_s=0)
 
@@ -118,7 +118,7 @@
         self.assertThat(self.follower.confirmed_age_s(600), Equals(581))
 
     def test_silent_source(self) -> None:
-        """A source that says nothing is left, though its channel is open."""
+        """A silent source counts as faulty, though its connection is open."""
         self.follower.choose_source(now_s=0)
         self.beat(0, now_s=1)
 
--- a/tests/state/model.py
+++ b/tests/state/model.py
@@ -1,4 +1,4 @@
-"""Drive the state machine as a faulty network and paused processes would."""
+"""Model of the replicated state under a faulty network and paused processes."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 @dataclasses.dataclass
 class _Act:
-    """An act on a VM whose process was paused after its check."""
+    """An action on a VM by a process that was paused after its lease check."""
 
     vm: str
     token: int
@@ -49,7 +49,7 @@
 
 @dataclasses.dataclass
 class _Network:
-    """What was sent, agreed on, pushed, and what is late or paused."""
+    """Commands sent, the log, delayed replies, messages and paused actions."""
 
     log: list[bytes] = dataclasses.field(default_factory=list)
     sent: list[Command] = dataclasses.field(default_factory=list)
@@ -61,10 +61,10 @@
 
 
 class StateModel(RuleBasedStateMachine):
-    """Two pools and two operators share one log, a follower reads it.
+    """Two pools and an operator share one log, and a follower reads it.
 
-    Commands are delivered late, twice and out of order; the follower reads a
-    replica that lags.  Subclasses plant one bug each.
+    Commands are delivered late, twice and out of order; the follower reads
+    from a replica that lags.  Subclasses inject one bug each.
     """
 
     machine_type: type[Machine] = Machine
@@ -99,14 +99,14 @@
 
     @rule(base_back=st.integers(0, 1), word=st.sampled_from('abc'))
     def change(self, base_back: int, word: str) -> None:
-        """An operator sends a change, now and then from an old base."""
+        """An operator sends a change, sometimes based on an old version."""
         version = self.leader.state.accepted.version
         base = max(0, version - base_back)
         self._send(ChangeText(base, f'[{word}]\nx = {len(self.net.sent)}\n'))
 
     @rule(vm=_vms, pool=_pools, is_late=st.booleans())
     def grant(self, vm: str, pool: str, is_late: bool) -> None:
-        """A manager asks for a VM."""
+        """A manager requests a VM for a pool."""
         self._send(GrantVm(vm, pool, _LEASE_S), is_late)
 
     @rule(
@@ -122,7 +122,7 @@
         confirms: bool,
         is_late: bool,
     ) -> None:
-        """A manager moves a VM, in a hurry or after its pool confirmed."""
+        """A manager moves a VM, with or without its pool's confirmation."""
         self.release(vm)
         if confirms:
             for owner in _POOLS:
@@ -131,40 +131,40 @@
 
     @rule(vm=_vms)
     def release(self, vm: str) -> None:
-        """A manager asks a VM back."""
+        """A manager starts the release of a VM."""
         record = self.leader.state.vms.get(vm)
         if record is not None:
             self._send(ReleaseVm(vm, record.token))
 
     @rule(number=_any, is_late=st.booleans())
     def renew(self, number: int, is_late: bool) -> None:
-        """A pool prolongs its lease."""
+        """A pool renews its lease."""
         if self.holdings:
             (vm, _), holding = self._pick_holding(number)
             self._send(RenewVm(vm, holding.token, _LEASE_S), is_late)
 
     @rule(vm=_vms, pool=_pools)
     def confirm(self, vm: str, pool: str) -> None:
-        """A pool stops using a VM and then says so."""
+        """A pool stops using a VM and then confirms the release."""
         holding = self.holdings.pop((vm, pool), None)
         if holding is not None:
             self._send(ConfirmRelease(vm, holding.token))
 
     @rule(number=_any)
     def resend(self, number: int) -> None:
-        """The network delivers an earlier command once more."""
+        """The network delivers an earlier command again."""
         if self.net.sent:
             self._deliver(self.net.sent[number % len(self.net.sent)])
 
     @rule(number=_any)
     def learn(self, number: int) -> None:
-        """A reply arrives late."""
+        """A delayed reply arrives."""
         if self.net.unread:
             self._learn(*self.net.unread.pop(number % len(self.net.unread)))
 
     @rule(number=_any)
     def check_then_pause(self, number: int) -> None:
-        """A process checks its lease, then is paused before its act."""
+        """A process checks its lease and is paused before it acts."""
         if not self.holdings:
             return
         (vm, _), holding = self._pick_holding(number)
@@ -173,7 +173,7 @@
 
     @rule(number=_any)
     def act_late(self, number: int) -> None:
-        """A paused process goes on and acts."""
+        """A paused process resumes and acts."""
         if not self.net.paused:
             return
         act = self.net.paused.pop(number % len(self.net.paused))
@@ -189,7 +189,7 @@
 
     @rule(steps=st.integers(1, 3))
     def replicate(self, steps: int) -> None:
-        """The replica that the follower reads applies some commands."""
+        """The replica that the follower reads from applies some commands."""
         until = self.lagging_applied + steps
         for command in self.net.log[self.lagging_applied : until]:
             self.lagging_applied += 1
@@ -216,7 +216,7 @@
 
     @rule(number=_any)
     def follow(self, number: int) -> None:
-        """The follower gets any message that was pushed, also an old one."""
+        """The follower receives any message sent so far, possibly an old one."""
         if not self.net.pushed:
             return
         before = self.follower.held.version
@@ -230,7 +230,7 @@
 
     @invariant()
     def one_pool(self) -> None:
-        """No two pools may act on a VM at a moment."""
+        """No two pools may act on a VM at the same time."""
         for vm in _VMS:
             acting = [
                 pool
@@ -242,7 +242,7 @@
 
     @invariant()
     def confirmed_is_newest(self) -> None:
-        """Nothing was accepted before the moment that is called confirmed."""
+        """The held version was the newest at the time called confirmed."""
         age_s = self.follower.confirmed_age_s(self.now_s)
         newest = max(
             version
@@ -253,13 +253,13 @@
 
     @invariant()
     def followed_text(self) -> None:
-        """What the follower holds is what was accepted under its version."""
+        """The follower holds the text that was accepted as its version."""
         held = self.follower.held
         assert held == make_copy(held.version, self.texts[held.version])
 
     @rule()
     def catch_up(self) -> None:
-        """The follower gets everything in order."""
+        """The follower receives everything, in order."""
         self.replicate(len(self.net.log))
         for _ in range(3):
             self.follow(len(self.net.pushed) - 1)
--- a/tests/state/test_machine.py
+++ b/tests/state/test_machine.py
@@ -1,4 +1,4 @@
-"""Test what agreed commands do to the state."""
+"""Test the effects of committed commands on the replicated state."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
         self._made = 0
 
     def do(self, action: Action, at_s: float = 0) -> Reply:
-        """Apply an action as a command of its own."""
+        """Apply an action as a new command."""
         self._made += 1
         command = build_command(
             action,
@@ -58,10 +58,10 @@
 
 
 class TestTexts(_MachineTest):
-    """Changes of the accepted text."""
+    """Changes of the configuration text."""
 
     def test_edits(self) -> None:
-        """A change that is stored as edits gives the text that was asked."""
+        """A change that is stored as edits gives the requested text."""
         self.do(ChangeText(0, SAMPLE_TEXT))
         edits = as_edits(ChangeText(1, _LARGER), self.machine.state.accepted)
 
@@ -72,7 +72,7 @@
         self.assertThat(len(msgspec.msgpack.encode(edits)), LessThan(60))
 
     def test_edits_outdated(self) -> None:
-        """Edits of a text that was replaced meanwhile change nothing."""
+        """Edits of a text that was replaced in the meantime are refused."""
         self.do(ChangeText(0, SAMPLE_TEXT))
         edits = as_edits(ChangeText(1, _LARGER), self.machine.state.accepted)
         self.do(ChangeText(1, '# Replaced.\n'))
@@ -82,7 +82,7 @@
         self.assertThat(reply.code, Equals(ResultCode.STATE_CONFLICT))
 
     def test_edits_damaged(self) -> None:
-        """Edits that give another text than they should change nothing."""
+        """Edits whose result does not match the checksum are refused."""
         self.do(ChangeText(0, SAMPLE_TEXT))
 
         reply = self.do(EditText(1, (LineEdit(0, 1, ('x\n',)),), checksum=7))
@@ -91,7 +91,7 @@
         self.assertThat(self.machine.state.accepted.text, Equals(SAMPLE_TEXT))
 
     def test_equal_numbers(self) -> None:
-        """Of two changes with one base, one wins; the other learns why."""
+        """Of two changes of one version, one wins; the other gets a conflict."""
         self.do(ChangeText(0, SAMPLE_TEXT))
 
         winner = self.do(ChangeText(1, _LARGER))
@@ -111,7 +111,7 @@
         )
 
     def test_resend_after_restart(self) -> None:
-        """A resend gets the first reply, also from a restored snapshot."""
+        """A resend gets the first reply, even from a restored snapshot."""
         command = build_command(ChangeText(0, SAMPLE_TEXT), 'resent')
         first = apply_command(self.machine, command)
         self.do(ChangeText(1, _LARGER))
@@ -122,7 +122,7 @@
         self.assertThat(restarted.state.accepted.version, Equals(2))
 
     def test_resend_too_old(self) -> None:
-        """A resend whose first reply may be forgotten is not applied."""
+        """A resend whose first reply may have been dropped is not applied."""
         restore = build_command(StartWave('w', b''), 'resent')
         apply_command(self.machine, restore)
         for number in range(4):
@@ -135,7 +135,7 @@
         self.assertThat(self.machine.state.waves, Equals({}))
 
     def test_restore(self) -> None:
-        """An old text comes back as a new version; forgotten ones do not."""
+        """A past text is restored as a new version; a dropped one is not."""
         self.do(ChangeText(0, SAMPLE_TEXT))
         for base in range(1, 4):
             self.do(ChangeText(base, f'{_LARGER}# {base}\n'))
@@ -156,7 +156,7 @@
         self.assertThat(newest.entries[0].summary, Contains('restores'))
 
     def test_malformed(self) -> None:
-        """Bytes that are no command are refused and break nothing."""
+        """Malformed bytes are refused and leave the state usable."""
         self.machine.apply(1, b'\xc1')
 
         self.assertThat(self.do(ChangeText(0, '')).version, Equals(1))
@@ -177,7 +177,7 @@
         self.assertThat(self.machine.state.waves['w'].body, Equals(b'1'))
 
     def test_paused_between(self) -> None:
-        """A manager that lost its lease can't record, nor ignore a pause."""
+        """A manager can't record after it lost its lease or missed a pause."""
         self.do(StartWave('w', b''))
         old = self.do(AcquireLease('zone-a', 'm-1', 5), at_s=10)
         new = self.do(AcquireLease('zone-a', 'm-2', 5), at_s=15)
@@ -193,10 +193,10 @@
 
 
 class TestOwnership(_MachineTest):
-    """VMs that pass between pools."""
+    """VMs that move between pools."""
 
     def test_move(self) -> None:
-        """A VM passes on only after confirmation or the end of the lease."""
+        """A VM moves only after confirmation or the end of the lease."""
         first = self.do(GrantVm('vm-1', 'desk', 10), at_s=0)
         early = self.do(GrantVm('vm-1', 'portal', 10), at_s=20)
         self.do(ReleaseVm('vm-1', first.token))
@@ -209,7 +209,7 @@
         self.assertThat(self.machine.state.vms['vm-1'].pool, Equals('portal'))
 
     def test_steps_of_move(self) -> None:
-        """A move asks for release, waits, then grants; then it is done."""
+        """A move requests the release, waits, grants, and is then complete."""
         wanted = GrantVm('vm-1', 'portal', 10)
         self.do(GrantVm('vm-1', 'desk', 10), at_s=0)
         asked = next_step(self.machine.state.vms['vm-1'], wanted, 1)
@@ -227,7 +227,7 @@
         )
 
     def test_named_lease(self) -> None:
-        """Only the holder of the newest token renews, and in time."""
+        """Only the newest token renews a lease, and only before it expires."""
         first = self.do(AcquireLease('zone-a', 'm-1', 5), at_s=10)
         other = self.do(AcquireLease('zone-a', 'm-2', 5), at_s=14)
         again = self.do(AcquireLease('zone-a', 'm-1', 5), at_s=14)
--- a/tests/state/test_machine_model.py
+++ b/tests/state/test_machine_model.py
@@ -1,4 +1,4 @@
-"""Test that no order of events breaks what must always hold."""
+"""Test that no order of events violates the invariants of the state."""
 
 from __future__ import annotations
 
@@ -30,12 +30,12 @@
     suppress_health_check=list(HealthCheck),
     print_blob=False,
 )
-# A planted bug ends the run once it is found.
+# A run with an injected bug ends as soon as the bug is found.
 _PATIENT = settings(_SETTINGS, max_examples=2000)
 
 
 class _ForgetsResults(Machine):
-    """Leaves the table of results out of its snapshot."""
+    """Loses the table of results on a restore."""
 
     def restore(self, snapshot: bytes) -> None:
         super().restore(snapshot)
@@ -43,7 +43,7 @@
 
 
 class _ForgetsTokens(Machine):
-    """Leaves the newest token out of its snapshot."""
+    """Loses the newest token on a restore."""
 
     def restore(self, snapshot: bytes) -> None:
         super().restore(snapshot)
@@ -51,7 +51,7 @@
 
 
 class _TakesAnyVersion(Follower):
-    """Puts whatever arrived last in force."""
+    """Installs whatever arrives last, even an older version."""
 
     def on_message(
         self,
@@ -68,7 +68,7 @@
 
 
 class _TrustsArrival(Follower):
-    """Counts a confirmation from the arrival of the beat."""
+    """Dates a confirmation by the arrival of the heartbeat."""
 
     def on_message(
         self,
@@ -81,21 +81,21 @@
 
 
 class _AdmitsAll(Fence):
-    """Lets every token pass."""
+    """Admits every token."""
 
     def admit(self, vm: str, token: int) -> bool:
         return True
 
 
 class TestModel(testtools.TestCase):
-    """The model, sound and with one planted bug at a time."""
+    """The model, without bugs and with one injected bug at a time."""
 
     def run_model(
         self,
         settings_used: settings,
         **planted: object,
     ) -> None:
-        """Run the model with some attributes replaced."""
+        """Run the model with the given attributes replaced."""
         model = types.new_class(
             'Planted',
             (StateModel,),
@@ -105,7 +105,7 @@
         run_state_machine_as_test(model, settings=settings_used)
 
     def check_finds(self, message: str, **planted: object) -> None:
-        """Expect the check to fail with a message."""
+        """Check that an injected bug fails the model with a message."""
         error = self.assertRaises(
             AssertionError,
             self.run_model,
@@ -115,35 +115,35 @@
         self.assertThat(str(error), Contains(message))
 
     def test_sound(self) -> None:
-        """No order of events breaks an invariant."""
+        """No order of events violates an invariant."""
         self.run_model(_SETTINGS)
 
     def test_results_lost(self) -> None:
-        """A snapshot without the results is found by a second application."""
+        """A restore without the results is found: a resend is reapplied."""
         self.check_finds('applied again', machine_type=_ForgetsResults)
 
     def test_tokens_lost(self) -> None:
-        """A snapshot without the newest token is found."""
+        """A restore without the newest token is found."""
         self.check_finds('did not rise', machine_type=_ForgetsTokens)
 
     def test_version_back(self) -> None:
-        """A follower that takes an older copy is found."""
+        """A follower that installs an older copy is found."""
         self.check_finds('reverted', follower_type=_TakesAnyVersion)
 
     def test_late_beat(self) -> None:
-        """A follower that trusts a beat which was held up is found."""
+        """A follower that trusts a delayed heartbeat is found."""
         self.check_finds('late beat', follower_type=_TrustsArrival)
 
     def test_no_fence(self) -> None:
-        """A paused process that acts after a newer owner is found."""
+        """A paused process that acts after a newer owner did is found."""
         self.check_finds('older owner', fence_type=_AdmitsAll)
 
     def test_lease_counted_late(self) -> None:
-        """A holder that counts its lease from the reply is found."""
+        """A holder that measures its lease from the reply is found."""
         self.check_finds('belongs to', has_late_count=True)
 
     def test_grant_too_early(self) -> None:
-        """A grant before the release is confirmed or expired is found."""
+        """A grant before the release is confirmed or has expired is found."""
         chart = _machine_vms.CHART
         hasty = dataclasses.replace(
             chart,
