--- a/src/wigeonreach/agreement/_agreement.py
+++ b/src/wigeonreach/agreement/_agreement.py
@@ -12,14 +12,12 @@
 import mode
 
 from wigeonreach.agreement._applier import Applier
-from wigeonreach.agreement._callers import RequestRouter
 from wigeonreach.agreement._disk_writer import DiskWriter
 from wigeonreach.agreement._links import Links
+from wigeonreach.agreement._pending_requests import Applied, ReadIndex
 from wigeonreach.agreement._raft import Raft
 from wigeonreach.agreement._raft_state import RaftState
 from wigeonreach.agreement._raft_types import (
-    WritesSynced,
-    TransferLeadership,
     Output,
     PeersDiscovered,
     RaftEvent,
@@ -27,8 +25,10 @@
     Received,
     Role,
     Tick,
+    TransferLeadership,
+    WritesSynced,
 )
-from wigeonreach.agreement._requests import Applied, ReadIndex
+from wigeonreach.agreement._request_router import RequestRouter
 from wigeonreach.agreement._settings import ReplicaSettings
 from wigeonreach.agreement._state_machine import StateMachine
 from wigeonreach.agreement._storage import Storage, StoredState
--- a/src/wigeonreach/agreement/_journal.py
+++ b/src/wigeonreach/agreement/_journal.py
@@ -103,8 +103,8 @@
 def _apply_record(content: JournalContent, record: Record, name: str) -> None:
     content.size_bytes = record.end_bytes
     if record.kind == RecordKind.COMMIT:
-        marked_index = int.from_bytes(record.payload)
-        content.commit_index = max(content.commit_index, marked_index)
+        stored_index = int.from_bytes(record.payload)
+        content.commit_index = max(content.commit_index, stored_index)
         return
     entry = _ENTRY_DECODER.decode(record.payload)
     log = content.log
--- a/src/wigeonreach/agreement/_outcomes.py
+++ b/src/wigeonreach/agreement/_outcomes.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-from wigeonreach.agreement._requests import (
+from wigeonreach.agreement._pending_requests import (
     Applied,
     NotStored,
+    OutcomeUnknown,
     ReadIndex,
     RequestOutcome,
-    OutcomeUnknown,
 )
 from wigeonreach.codes import ResultCode
 from wigeonreach.wire._raft_messages import (
--- a/src/wigeonreach/agreement/_requests.py
+++ b/src/wigeonreach/agreement/_pending_requests.py
@@ -29,7 +29,8 @@
 class NotStored(msgspec.Struct, frozen=True):
     """The request was refused; nothing was stored.
 
-    Either the receiver is not the leader, or too many proposals are pending.
+    There is no known leader, the receiver is not the leader, or too many
+    proposals are pending.
     """
 
 
--- a/src/wigeonreach/agreement/_raft.py
+++ b/src/wigeonreach/agreement/_raft.py
@@ -9,13 +9,11 @@
 from wigeonreach.agreement import _raft_election as election
 from wigeonreach.agreement import _raft_following as following
 from wigeonreach.agreement import _raft_leading as leading
-from wigeonreach.agreement import _raft_members as members
+from wigeonreach.agreement import _raft_membership as membership
 from wigeonreach.agreement import _raft_reads as reads
-from wigeonreach.agreement import _raft_transfer as transfer
+from wigeonreach.agreement import _raft_snapshots as snapshots
 from wigeonreach.agreement._raft_state import RaftState
 from wigeonreach.agreement._raft_types import (
-    WritesSynced,
-    TransferLeadership,
     Output,
     PeersDiscovered,
     Propose,
@@ -26,6 +24,8 @@
     Role,
     SnapshotTaken,
     Tick,
+    TransferLeadership,
+    WritesSynced,
 )
 from wigeonreach.agreement._storage import StoredState
 from wigeonreach.wire._raft_messages import (
@@ -150,7 +150,7 @@
         if state.now_s >= state.election_due_s:
             election.start_pre_vote(state)
     elif state.now_s >= state.join_due_s:
-        members.ask_to_join(state)
+        membership.ask_to_join(state)
 
 
 @_on_event.register
@@ -184,7 +184,7 @@
 
 @_on_event.register
 def _on_snapshot_taken(event: SnapshotTaken, state: RaftState) -> None:
-    transfer.store_snapshot(state, event.index, event.state)
+    snapshots.store_snapshot(state, event.index, event.state)
 
 
 @_on_event.register
@@ -223,12 +223,12 @@
 
 @_on_message.register
 def _on_chunk(message: SnapshotChunk, state: RaftState) -> None:
-    transfer.on_chunk(state, message)
+    snapshots.on_chunk(state, message)
 
 
 @_on_message.register
 def _on_snapshot_reply(message: SnapshotReply, state: RaftState) -> None:
-    transfer.on_snapshot_reply(state, message)
+    snapshots.on_snapshot_reply(state, message)
 
 
 @_on_message.register
@@ -238,4 +238,4 @@
 
 @_on_message.register
 def _on_join(message: Join, state: RaftState) -> None:
-    members.on_join(state, message)
+    membership.on_join(state, message)
--- a/src/wigeonreach/agreement/_raft_election.py
+++ b/src/wigeonreach/agreement/_raft_election.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from wigeonreach.agreement import _raft_leading as leading
-from wigeonreach.agreement import _raft_members as members
+from wigeonreach.agreement import _raft_membership as membership
 from wigeonreach.agreement._raft_state import RaftState
 from wigeonreach.agreement._raft_types import Role, RoleEvent
 from wigeonreach.wire._raft_messages import LeadNow, VoteReply, VoteRequest
@@ -41,7 +41,7 @@
 def on_vote_request(state: RaftState, request: VoteRequest) -> None:
     """Vote for a candidate whose log is at least as up to date as this one."""
     if request.is_trial:
-        members.add_campaigning_learner(state, request.sender)
+        membership.add_campaigning_learner(state, request.sender)
         _answer_pre_vote(state, request)
         return
     state.observe_term(request.term)
--- a/src/wigeonreach/agreement/_raft_following.py
+++ b/src/wigeonreach/agreement/_raft_following.py
@@ -42,15 +42,15 @@
     if not _matches_previous_entry(state, message):
         _reject(state, message)
         return
-    fresh = state.log.store(message.entries)
-    if fresh:
-        state.synced_index = min(state.synced_index, fresh[0].index - 1)
-        state.write(entries=tuple(fresh))
+    new_entries = state.log.store(message.entries)
+    if new_entries:
+        state.synced_index = min(state.synced_index, new_entries[0].index - 1)
+        state.write(entries=tuple(new_entries))
         state.update_voter_role()
     end = message.previous_index + len(message.entries)
     state.verified_index = max(state.verified_index, end)
-    reachable = min(message.commit_index, state.verified_index)
-    state.commit_index = max(state.commit_index, reachable)
+    committed_index = min(message.commit_index, state.verified_index)
+    state.commit_index = max(state.commit_index, committed_index)
     send_append_reply(
         state, message.sender, message.heartbeat_round, is_accepted=True
     )
@@ -95,10 +95,11 @@
 def _reject(state: RaftState, message: AppendEntries) -> None:
     hint = min(state.log.last_index, message.previous_index)
     # One rejection skips all entries of a term that the leader does not have.
-    wrong_term = state.log.term_at(hint)
+    conflicting_term = state.log.term_at(hint)
     if message.previous_index <= state.log.last_index:
         while (
-            hint > state.commit_index and state.log.term_at(hint) == wrong_term
+            hint > state.commit_index
+            and state.log.term_at(hint) == conflicting_term
         ):
             hint -= 1
     state.send(
--- a/src/wigeonreach/agreement/_raft_leading.py
+++ b/src/wigeonreach/agreement/_raft_leading.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from wigeonreach.agreement import _raft_members as members
+from wigeonreach.agreement import _raft_membership as membership
 from wigeonreach.agreement import _raft_reads as reads
-from wigeonreach.agreement import _raft_transfer as transfer
+from wigeonreach.agreement import _raft_snapshots as snapshots
 from wigeonreach.agreement._raft_state import LeaderState, Progress, RaftState
 from wigeonreach.agreement._raft_types import (
     AppendedProposal,
@@ -71,8 +71,8 @@
         return
     if state.now_s >= lead.heartbeat_due_s:
         send_to_all(state)
-    members.drop_silent_learners(state)
-    members.promote_caught_up(state)
+    membership.drop_silent_learners(state)
+    membership.promote_caught_up(state)
 
 
 def step_down(state: RaftState) -> None:
@@ -88,21 +88,23 @@
     if lead is None:
         return
     oldest_s = state.now_s - state.settings.election_min_s
-    heirs = [
+    live_voters = [
         voter
         for voter in state.log.voters
         if voter in lead.progress
         and lead.progress[voter].last_heard_s >= oldest_s
     ]
-    if not heirs:
+    if not live_voters:
         return
-    heir = max(heirs, key=lambda voter: lead.progress[voter].match_index)
+    successor = max(
+        live_voters, key=lambda voter: lead.progress[voter].match_index
+    )
     message = LeadNow(
         sender=state.me,
-        target_incarnation=heir.incarnation,
+        target_incarnation=successor.incarnation,
         term=state.hard_state.term,
     )
-    state.send(heir, message)
+    state.send(successor, message)
 
 
 def send_to_all(state: RaftState) -> None:
@@ -134,7 +136,7 @@
     assert lead is not None
     previous_term = state.log.term_at(progress.next_index - 1)
     if previous_term is None or progress.encoded_snapshot is not None:
-        transfer.send_chunk(state, member, progress)
+        snapshots.send_chunk(state, member, progress)
         return
     batch = () if progress.is_probing else _next_batch(state, progress)
     message = AppendEntries(
@@ -170,8 +172,8 @@
     _update_match_index(state, progress, reply)
     advance_commit(state)
     reads.complete_confirmed(state)
-    members.update_caught_up(state, progress)
-    members.promote_caught_up(state)
+    membership.update_caught_up(state, progress)
+    membership.promote_caught_up(state)
     # After a rejection the next index is tried at once.
     is_due = not reply.is_accepted or _can_send_entries(state, progress)
     if state.leader_state is lead and is_due:
--- a/src/wigeonreach/agreement/_raft_log.py
+++ b/src/wigeonreach/agreement/_raft_log.py
@@ -120,11 +120,11 @@
             if entry.index <= self.base_index:
                 continue
             if self.term_at(entry.index) != entry.term:
-                fresh = entries[place:]
+                new_entries = entries[place:]
                 self._truncate_from(entry.index)
-                self.entries.extend(fresh)
-                self._record_voter_changes(fresh)
-                return fresh
+                self.entries.extend(new_entries)
+                self._record_voter_changes(new_entries)
+                return new_entries
         return ()
 
     def compact(self, index: int) -> None:
--- a/src/wigeonreach/agreement/_raft_members.py
+++ b/src/wigeonreach/agreement/_raft_membership.py
@@ -99,8 +99,8 @@
     """
     if progress.match_index < progress.catch_up_index:
         return
-    taken_s = state.now_s - progress.catch_up_started_s
-    progress.is_caught_up = taken_s <= state.settings.election_min_s
+    round_s = state.now_s - progress.catch_up_started_s
+    progress.is_caught_up = round_s <= state.settings.election_min_s
     progress.catch_up_index = state.log.last_index
     progress.catch_up_started_s = state.now_s
 
@@ -137,15 +137,15 @@
 
 def _promote(state: RaftState, lead: LeaderState, learner: MemberId) -> None:
     kept = [voter for voter in state.log.voters if voter.name != learner.name]
-    lost = set(state.log.voters).difference(kept)
-    if not lost:
+    lost_voters = set(state.log.voters).difference(kept)
+    if not lost_voters:
         kept.append(learner)
-    for disk in lost:
-        progress = lead.progress.get(disk)
+    for voter in lost_voters:
+        progress = lead.progress.get(voter)
         if progress is not None and not _is_silent(state, progress):
             # Two live processes share a name; the current voter stays.
             return
-        lead.progress.pop(disk, None)
+        lead.progress.pop(voter, None)
     state.append(EntryKind.VOTERS, encode_voters(tuple(sorted(kept))))
 
 
@@ -159,10 +159,10 @@
     voters = state.log.voters
     if not target or learner.name in _voter_names(state):
         return True
-    has_lost_voter = any(
+    has_replaceable_voter = any(
         _is_replaceable(state, lead, voter) for voter in voters
     )
-    return len(voters) < target + has_lost_voter
+    return len(voters) < target + has_replaceable_voter
 
 
 def _remove_surplus_voter(state: RaftState, lead: LeaderState) -> bool:
--- a/src/wigeonreach/agreement/_raft_reads.py
+++ b/src/wigeonreach/agreement/_raft_reads.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from wigeonreach.agreement._raft_state import PendingRead, RaftState
-from wigeonreach.agreement._raft_types import RequestOrigin, Read, ReadReady
+from wigeonreach.agreement._raft_types import Read, ReadReady, RequestOrigin
 
 
 def on_read(state: RaftState, event: Read) -> None:
--- a/src/wigeonreach/agreement/_raft_state.py
+++ b/src/wigeonreach/agreement/_raft_state.py
@@ -11,10 +11,10 @@
 from wigeonreach.agreement._raft_types import (
     HardState,
     JournalBase,
-    RequestOrigin,
     OutgoingMessage,
     Output,
     RaftSettings,
+    RequestOrigin,
     Role,
     RoleEvent,
     Snapshot,
@@ -173,10 +173,10 @@
         bool
             False if the event has no effect in the current role.
         """
-        step = load_chart('replica').step(self.role.value, event.value)
-        if step is None:
+        new_role = load_chart('replica').step(self.role.value, event.value)
+        if new_role is None:
             return False
-        self.role = Role(step)
+        self.role = Role(new_role)
         if self.role is not Role.LEADER:
             self.leader_state = None
         return True
--- a/src/wigeonreach/agreement/_callers.py
+++ b/src/wigeonreach/agreement/_request_router.py
@@ -6,21 +6,21 @@
 from collections.abc import Callable
 
 from wigeonreach.agreement._outcomes import decode_outcome, encode_outcome
+from wigeonreach.agreement._pending_requests import (
+    Applied,
+    NotStored,
+    OutcomeUnknown,
+    PendingRequests,
+    ReadIndex,
+    RequestOutcome,
+)
 from wigeonreach.agreement._raft_state import RaftState
 from wigeonreach.agreement._raft_types import (
-    RequestOrigin,
     Output,
     Propose,
     RaftEvent,
     Read,
-)
-from wigeonreach.agreement._requests import (
-    Applied,
-    NotStored,
-    ReadIndex,
-    RequestOutcome,
-    PendingRequests,
-    OutcomeUnknown,
+    RequestOrigin,
 )
 from wigeonreach.wire._raft_messages import (
     LogEntry,
@@ -114,39 +114,39 @@
             self._reply(origin, Applied(reply))
 
     def handle_leader_change(self) -> None:
-        """Fail all pending requests, as the former leader may not answer."""
+        """End all pending requests, as the former leader may never answer."""
         self._pending.resolve_all(OutcomeUnknown())
         for origin in self._pending.pop_all_proposals():
             self._reply(origin, OutcomeUnknown())
 
     async def _request(
         self,
-        ask: Callable[[int], None],
+        send: Callable[[int], None],
         retried: _OutcomeTypes,
     ) -> RequestOutcome:
         try:
             async with asyncio.timeout(_REPLY_TIMEOUT_S):
-                return await self._send_until_final(ask, retried)
+                return await self._send_until_final(send, retried)
         except TimeoutError:
             return OutcomeUnknown()
 
     async def _send_until_final(
         self,
-        ask: Callable[[int], None],
+        send: Callable[[int], None],
         retried: _OutcomeTypes,
     ) -> RequestOutcome:
         while True:
-            outcome = await self._send_once(ask)
+            outcome = await self._send_once(send)
             if not isinstance(outcome, retried):
                 return outcome
             await asyncio.sleep(_RETRY_S)
 
-    async def _send_once(self, ask: Callable[[int], None]) -> RequestOutcome:
+    async def _send_once(self, send: Callable[[int], None]) -> RequestOutcome:
         is_full = self._pending.proposal_count >= _MAX_PENDING_PROPOSALS
         if self._state.leader is None or is_full:
             return NotStored()
         number, future = self._pending.create()
-        ask(number)
+        send(number)
         return await future
 
     def _send_proposal(self, number: int, command: bytes) -> None:
--- a/src/wigeonreach/agreement/_storage.py
+++ b/src/wigeonreach/agreement/_storage.py
@@ -119,14 +119,14 @@
         )
 
     def move_damaged_files(self) -> StoredState:
-        """Rename the damaged files, and initialize the folder as a new disk.
+        """Rename all files of a damaged folder, and initialize it anew.
 
         The new disk has no vote until a leader makes it a voter, and must
         not bootstrap a cluster.
         """
-        mark = format(self._rng.getrandbits(_DAMAGED_ID_BITS), 'x')
+        damage_id = format(self._rng.getrandbits(_DAMAGED_ID_BITS), 'x')
         for name in self._disk.names() & _FILES:
-            self._disk.rename(name, f'damaged-{mark}-{name}')
+            self._disk.rename(name, f'damaged-{damage_id}-{name}')
         return self._initialize(may_found=False)
 
     def write(self, writes: Sequence[Write]) -> None:
--- a/tests/agreement/test_disk_writer.py
+++ b/tests/agreement/test_disk_writer.py
@@ -1,4 +1,4 @@
-"""Check what is told of writes that the disk did not take."""
+"""Test which writes are reported as synced when the disk fails."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class TestDiskWriter(testtools.TestCase):
-    """Nothing is called synced that may not last."""
+    """Only durable writes are reported as synced."""
 
     def setUp(self) -> None:
         """Create a writer over a fake disk."""
@@ -35,7 +35,7 @@
         self.failures: list[Exception] = []
 
     def test_full_disk_is_tried_again(self) -> None:
-        """A write is called synced only once there was room for it."""
+        """A write to a full disk is retried, and reported once it is synced."""
         self.disk.is_full = True
         asyncio.run(self._write_through())
         self.assertEqual([], self.failures)
@@ -43,7 +43,7 @@
         self.assertEqual(1, self.storage.load().log.last_index)
 
     def test_failed_sync_ends_it(self) -> None:
-        """After a failed sync nothing is called synced any more."""
+        """After a failed sync no write is reported as synced."""
         self.disk.fails_sync = True
         asyncio.run(self._write_through())
         self.assertEqual([], self.synced)
--- a/tests/agreement/test_links.py
+++ b/tests/agreement/test_links.py
@@ -1,4 +1,4 @@
-"""Test links between replicas over connections that misbehave."""
+"""Test links between replicas over connections that go silent."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
     ReadRequest,
 )
 
-# Far above what anything here takes; it only ends a test that hangs.
-_PATIENCE_S = 20.0
+# Far above the duration of any test here; ends a test that hangs.
+_TEST_TIMEOUT_S = 20.0
 _MESSAGE = ReadRequest(MemberId('sender', 1), 2, 3, 4)
 
 
@@ -44,7 +44,7 @@
         """Serve one connection."""
         self.connections += 1
         if self.connections <= self._silent:
-            await asyncio.sleep(_PATIENCE_S)
+            await asyncio.sleep(_TEST_TIMEOUT_S)
         try:
             await self._answer(channel)
         except WireError:
@@ -68,7 +68,7 @@
     links = Links((), Logger('sender'))
     await links.start()
     try:
-        async with asyncio.timeout(_PATIENCE_S):
+        async with asyncio.timeout(_TEST_TIMEOUT_S):
             await body(lambda: links.post(name, _MESSAGE))
     finally:
         await links.stop()
@@ -76,10 +76,10 @@
 
 
 class TestLinks(testtools.TestCase):
-    """Links that are used while their connections go silent."""
+    """Links whose connections go silent."""
 
     def test_silent_connection_is_given_up(self) -> None:
-        """Bytes are taken, but nobody hears them: another one is opened."""
+        """A connection that accepts bytes but answers nothing is replaced."""
 
         async def run() -> None:
             peer = _Peer(silent=1)
@@ -95,7 +95,7 @@
         asyncio.run(run())
 
     def test_quiet_link_stays_open(self) -> None:
-        """A replica that has nothing to say answers probes."""
+        """A link stays open if the peer answers only probes."""
 
         async def run() -> None:
             peer = _Peer(silent=0)
--- a/tests/agreement/test_raft_catch_up.py
+++ b/tests/agreement/test_raft_catch_up.py
@@ -1,4 +1,4 @@
-"""Bring a replica up to date whose log ends in entries of a lost leader."""
+"""Test how replicas catch up, are replaced, and hand over leadership."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 import testtools
 from testtools import matchers
 
-from tests.builders_raft import stored_log
+from tests.builders_raft import build_stored_state
 from wigeonreach.agreement._raft import Raft
 from wigeonreach.agreement._raft_log import encode_voters
 from wigeonreach.agreement._raft_types import (
-    WritesSynced,
-    TransferLeadership,
     OutgoingMessage,
     RaftEvent,
     RaftSettings,
     Received,
     Role,
     Tick,
+    TransferLeadership,
+    WritesSynced,
 )
 from wigeonreach.agreement._storage import StoredState
 from wigeonreach.wire._raft_messages import (
@@ -32,25 +32,29 @@
     VoteRequest,
 )
 
-_SHARED = 760
-_CONFLICTING = 24
-_MISSED = 1500
+_SHARED_ENTRIES = 760
+_CONFLICTING_ENTRIES = 24
+_MISSED_ENTRIES = 1500
 _STEP_S = 0.2
 _STEPS = 60
 _SETTINGS = RaftSettings()
-_OPEN = RaftSettings(voter_target=3)
+_OPEN_MEMBERSHIP = RaftSettings(voter_target=3)
 
 
-class _Pair:
-    """Two of three replicas, with a network that takes one step of time."""
+class _TwoReplicas:
+    """Two of three replicas; each message takes one step to be delivered."""
 
     def __init__(
         self,
         settings: RaftSettings = _SETTINGS,
         lasting_voters: Sequence[str] = (),
     ) -> None:
-        behind = stored_log('a', ((2, _SHARED), (3, _CONFLICTING)))
-        ahead = stored_log('b', ((2, _SHARED), (4, _MISSED)))
+        behind = build_stored_state(
+            'a', ((2, _SHARED_ENTRIES), (3, _CONFLICTING_ENTRIES))
+        )
+        ahead = build_stored_state(
+            'b', ((2, _SHARED_ENTRIES), (4, _MISSED_ENTRIES))
+        )
         if lasting_voters:
             _change_voters(ahead, lasting_voters)
         self.rafts = {
@@ -67,7 +71,7 @@
         self.sent_entries = 0
 
     def step(self, now_s: float) -> None:
-        """Deliver what is under way; a tick comes before each delivery."""
+        """Deliver all messages in flight, after a tick on each replica."""
         arriving = self.in_flight
         self.in_flight = []
         for name, raft in self.rafts.items():
@@ -78,8 +82,8 @@
             ]
             self._run(raft, now_s, events)
 
-    def tell(self, name: str, event: RaftEvent, now_s: float) -> None:
-        """Let something happen to one replica."""
+    def send_event(self, name: str, event: RaftEvent, now_s: float) -> None:
+        """Pass an event to one replica."""
         self._run(self.rafts[name], now_s, [event])
 
     def _run(
@@ -103,7 +107,7 @@
 
 
 def _change_voters(stored: StoredState, names: Sequence[str]) -> None:
-    """Let a log end with an entry that changes the voters."""
+    """Append an entry that sets the voters to a log."""
     last_index = stored.log.last_index
     voters = tuple(MemberId(name, 1) for name in names)
     entry = LogEntry(
@@ -116,37 +120,39 @@
 
 
 class TestCatchUp(testtools.TestCase):
-    """A leader and a replica that led before, while it was cut off."""
+    """A leader, and a former one that appended entries while partitioned."""
 
     def test_conflicting_end_is_replaced(self) -> None:
-        """Heartbeats between the refusals don't undo what they taught."""
-        pair = _Pair()
+        """Heartbeats between rejections don't move the next index back up."""
+        replicas = _TwoReplicas()
         most_entries = 0
         for number in range(_STEPS):
-            pair.step(number * _STEP_S)
-            most_entries = max(most_entries, pair.sent_entries)
-        leader = pair.rafts['b'].state
+            replicas.step(number * _STEP_S)
+            most_entries = max(most_entries, replicas.sent_entries)
+        leader = replicas.rafts['b'].state
         self.assertThat(leader.role, matchers.Equals(Role.LEADER))
         self.assertThat(
-            pair.rafts['a'].state.log.last_index,
+            replicas.rafts['a'].state.log.last_index,
             matchers.Equals(leader.log.last_index),
         )
-        self.assertThat(leader.commit_index, matchers.GreaterThan(_SHARED))
+        self.assertThat(
+            leader.commit_index, matchers.GreaterThan(_SHARED_ENTRIES)
+        )
 
 
 class TestHandOver(testtools.TestCase):
-    """A leader that is told to end."""
+    """A leader that is told to stop."""
 
     def test_other_replica_leads_at_once(self) -> None:
-        """It takes messages only, and no election timeout."""
-        pair = _Pair()
+        """The new leader is elected without waiting for an election timeout."""
+        replicas = _TwoReplicas()
         for number in range(_STEPS):
-            pair.step(number * _STEP_S)
+            replicas.step(number * _STEP_S)
         began_s = _STEPS * _STEP_S
-        pair.tell('b', TransferLeadership(), began_s)
+        replicas.send_event('b', TransferLeadership(), began_s)
         for late in range(6):
-            pair.step(began_s + late * 0.01)
-        roles = {name: raft.state.role for name, raft in pair.rafts.items()}
+            replicas.step(began_s + late * 0.01)
+        roles = {name: raft.state.role for name, raft in replicas.rafts.items()}
         self.assertThat(
             roles,
             matchers.Equals({'a': Role.LEADER, 'b': Role.FOLLOWER}),
@@ -154,67 +160,70 @@
 
 
 class TestSilentLearner(testtools.TestCase):
-    """A replica without a vote that is gone, and may come back."""
+    """A learner that falls silent, and may come back."""
 
     def test_leader_stops_sending_to_it(self) -> None:
-        """And takes it up again once it asks again."""
-        pair = _Pair(_OPEN)
+        """The leader replicates to it again once it asks to join again."""
+        replicas = _TwoReplicas(_OPEN_MEMBERSHIP)
         for number in range(_STEPS):
-            pair.step(number * _STEP_S)
+            replicas.step(number * _STEP_S)
         now_s = _STEPS * _STEP_S
-        self._join(pair, now_s)
-        self.assertThat(self._is_followed(pair), matchers.Is(True))
+        self._join(replicas, now_s)
+        self.assertThat(self._is_replicated_to(replicas), matchers.Is(True))
         for _ in range(_STEPS):
             now_s += _STEP_S
-            pair.step(now_s)
-        self.assertThat(self._is_followed(pair), matchers.Is(False))
-        self._join(pair, now_s)
-        self.assertThat(self._is_followed(pair), matchers.Is(True))
+            replicas.step(now_s)
+        self.assertThat(self._is_replicated_to(replicas), matchers.Is(False))
+        self._join(replicas, now_s)
+        self.assertThat(self._is_replicated_to(replicas), matchers.Is(True))
 
-    def _join(self, pair: _Pair, now_s: float) -> None:
+    def _join(self, replicas: _TwoReplicas, now_s: float) -> None:
         join = Join(MemberId('d', 1), 0, 0, is_blank=True)
-        pair.tell('b', Received(join), now_s)
+        replicas.send_event('b', Received(join), now_s)
 
-    def _is_followed(self, pair: _Pair) -> bool:
-        lead = pair.rafts['b'].state.leader_state
+    def _is_replicated_to(self, replicas: _TwoReplicas) -> bool:
+        lead = replicas.rafts['b'].state.leader_state
         assert lead is not None
         return any(member.name == 'd' for member in lead.progress)
 
 
 class TestReplacedVoter(testtools.TestCase):
-    """A voter in whose place another was put while it stood still."""
+    """A voter that was replaced by another one while it was frozen."""
 
     def test_it_is_brought_up_to_date(self) -> None:
-        """It asks for votes, as its log says that it has one."""
-        pair = _Pair(_OPEN, lasting_voters=('b',))
+        """It asks for votes, as it is still a voter in its own log.
+
+        The leader then adds it as a learner; otherwise it would ask for ever.
+        """
+        replicas = _TwoReplicas(_OPEN_MEMBERSHIP, lasting_voters=('b',))
         for number in range(_STEPS):
-            pair.step(number * _STEP_S)
-        leader = pair.rafts['b'].state
-        behind = pair.rafts['a'].state
+            replicas.step(number * _STEP_S)
+        leader = replicas.rafts['b'].state
+        behind = replicas.rafts['a'].state
         self.assertThat(leader.role, matchers.Equals(Role.LEADER))
         self.assertThat(behind.leader, matchers.Equals(leader.me))
         self.assertThat(
             behind.log.last_index,
             matchers.Equals(leader.log.last_index),
         )
-        # Its place is free, so it counts again.
+        # There are fewer voters than wanted, so it becomes one again.
         self.assertThat(behind.is_voter, matchers.Is(True))
 
 
 class TestSplitVotes(testtools.TestCase):
-    """A candidate that wins its trial, and not the votes."""
+    """A candidate that wins the pre-vote, but not the election."""
 
     def test_next_election_is_soon(self) -> None:
-        """Sooner than after the silence of a leader."""
+        """The next election starts sooner than after a leader fell silent."""
         for seed in range(20):
-            began_s = self._campaigns_s(seed)
+            began_s = self._election_starts_s(seed)
             pause_s = began_s[1] - began_s[0]
             self.assertThat(pause_s, matchers.LessThan(0.95))
             self.assertThat(pause_s, matchers.GreaterThan(0.25))
 
-    def _campaigns_s(self, seed: int) -> list[float]:
-        """Return when a replica began to campaign, twice."""
-        stored = stored_log('a', ((2, 1),))
+    def _election_starts_s(self, seed: int) -> list[float]:
+        """Return the times of a replica's first two pre-votes."""
+        stored = build_stored_state('a', ((2, 1),))
         rng = random.Random(seed)
         raft = Raft('a', ('a', 'b', 'c'), stored, _SETTINGS, rng)
         began_s: list[float] = []
--- a/tests/agreement/test_raft_model.py
+++ b/tests/agreement/test_raft_model.py
@@ -1,4 +1,4 @@
-"""Drive the agreement through failures and check what it promises."""
+"""Test the safety of Raft under simulated failures."""
 
 from __future__ import annotations
 
@@ -15,26 +15,26 @@
 
 from tests.builders_raft import (
     NAMES,
-    BrokenPromiseError,
     Node,
+    SafetyViolationError,
     Simulation,
 )
-from wigeonreach.agreement import _raft_members
+from wigeonreach.agreement import _raft_membership
 from wigeonreach.agreement._raft_state import LeaderState, RaftState
-from wigeonreach.agreement._raft_types import WritesSynced, RaftEvent
+from wigeonreach.agreement._raft_types import RaftEvent, WritesSynced
 from wigeonreach.agreement._storage import StoredState
 from wigeonreach.wire._raft_messages import MemberId
 
 _RUNS = 12
-_RUNS_UNTIL_FOUND = 200
+_MAX_RUNS_UNTIL_FOUND = 200
 _ACTIONS = 250
 _RACES = 60
 _ANY = st.sampled_from(NAMES)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Weather:
-    """How often things fail in one run; runs differ on purpose."""
+class _FailureRates:
+    """How often failures occur in one run; the rates differ between runs."""
 
     rng: random.Random
     failures_percent: int
@@ -44,8 +44,8 @@
     seed: int
 
     @classmethod
-    def draw(cls, seed: int) -> _Weather:
-        """Draw the weather of a run."""
+    def draw(cls, seed: int) -> _FailureRates:
+        """Draw the rates of a run from its seed."""
         rng = random.Random(seed)
         return cls(
             rng,
@@ -57,15 +57,15 @@
         )
 
     def happens(self, percent: int) -> bool:
-        """Draw whether something happens."""
+        """Return True with a probability in percent."""
         return self.rng.randrange(100) < percent
 
 
-def _disturb(simulation: Simulation, weather: _Weather) -> None:
-    """Let one thing happen: work mostly, a failure now and then."""
-    rng = weather.rng
+def _inject_event(simulation: Simulation, rates: _FailureRates) -> None:
+    """Let one event happen: mostly normal operation, sometimes a failure."""
+    rng = rates.rng
     node = simulation.nodes[rng.choice(NAMES)]
-    if weather.happens(weather.failures_percent):
+    if rates.happens(rates.failures_percent):
         rng.choice(_FAILURES)(simulation, node, rng)
         return
     draw = rng.randrange(10)
@@ -74,25 +74,25 @@
     elif draw < 3:
         simulation.read(simulation.leader_or(node))
     elif draw < 4:
-        simulation.tick(node, weather.tick_s)
+        simulation.tick(node, rates.tick_s)
     else:
-        _work(simulation, weather)
+        _make_progress(simulation, rates)
 
 
-def _work(simulation: Simulation, weather: _Weather) -> None:
-    """Let messages arrive in any order, and disks and clocks go on."""
+def _make_progress(simulation: Simulation, rates: _FailureRates) -> None:
+    """Deliver messages in random order, and let disks and clocks advance."""
     for _ in tuple(simulation.in_flight):
-        node = simulation.nodes[weather.rng.choice(NAMES)]
-        is_kept = weather.happens(weather.losses_percent)
-        simulation.deliver(weather.rng.randrange(10_000), is_kept)
-        if weather.happens(40):
+        node = simulation.nodes[rates.rng.choice(NAMES)]
+        is_kept = rates.happens(rates.losses_percent)
+        simulation.deliver(rates.rng.randrange(10_000), is_kept)
+        if rates.happens(40):
             simulation.write(node)
-        if weather.happens(weather.restarts_percent):
+        if rates.happens(rates.restarts_percent):
             simulation.crash(node)
             simulation.start(node)
     for late in simulation.nodes.values():
-        simulation.tick(late, weather.tick_s / 3)
-    if weather.happens(weather.losses_percent):
+        simulation.tick(late, rates.tick_s / 3)
+    if rates.happens(rates.losses_percent):
         simulation.lose_messages(0.3)
 
 
@@ -131,8 +131,10 @@
         simulation.start(node)
 
 
-def _race(simulation: Simulation, node: Node, rng: random.Random) -> None:
-    """Let two replicas campaign at once while the third one restarts."""
+def _race_elections(
+    simulation: Simulation, node: Node, rng: random.Random
+) -> None:
+    """Let two replicas start elections at once while the third restarts."""
     simulation.lose_messages(1)
     for rival in simulation.nodes.values():
         if rival is not node:
@@ -152,7 +154,7 @@
     _crash_in_write,
     _lose_all,
     _lose_disk,
-    _race,
+    _race_elections,
     _snapshot,
     _start_all,
     _start_all,
@@ -160,34 +162,34 @@
 
 
 def _run(seed: int, node_type: type[Node] = Node) -> Simulation:
-    weather = _Weather.draw(seed)
+    rates = _FailureRates.draw(seed)
     simulation = Simulation(seed, node_type)
     simulation.settle(60)
     for _ in range(_ACTIONS):
-        _disturb(simulation, weather)
+        _inject_event(simulation, rates)
     return simulation
 
 
-def _finds(node_type: type[Node] = Node) -> bool:
-    for seed in range(_RUNS_UNTIL_FOUND):
+def _finds_violation(node_type: type[Node] = Node) -> bool:
+    for seed in range(_MAX_RUNS_UNTIL_FOUND):
         try:
             _run(seed, node_type).check_converged()
-        except BrokenPromiseError:
+        except SafetyViolationError:
             return True
     return False
 
 
 class TestRandomFailures(testtools.TestCase):
-    """What holds whatever fails, in long random runs."""
+    """Safety in long random runs with all kinds of failures."""
 
     def test_promises_hold(self) -> None:
-        """Nothing acknowledged is lost and no two lead in one term."""
+        """No acknowledged command is lost, and each term has one leader."""
         reads = 0
         changes = 0
         for seed in range(_RUNS):
             simulation = _run(seed)
             simulation.check_converged()
-            reads += simulation.done_reads
+            reads += simulation.completed_reads
             changes += len(simulation.acknowledged)
         self.assertGreater(changes, 10 * _RUNS)
         self.assertGreater(reads, 5 * _RUNS)
@@ -265,25 +267,25 @@
 
 
 class TestRaces(testtools.TestCase):
-    """What holds when rivals campaign and the third one restarts."""
+    """Safety when two replicas compete for votes and the third restarts."""
 
     def test_one_leader_a_term(self) -> None:
-        """A vote that was given is remembered over a restart."""
+        """A vote is remembered across a restart."""
         simulation = Simulation(1)
-        _race_on(simulation, random.Random(1))
+        _race_repeatedly(simulation, random.Random(1))
         simulation.check_converged()
         self.assertGreater(len(simulation.leaders), _RACES // 2)
 
 
 class TestVoters(testtools.TestCase):
-    """How the voters change."""
+    """Changes of the voters."""
 
     def test_three_grow_to_five(self) -> None:
-        """New replicas count once caught up; two of five may then be lost."""
+        """New replicas become voters; then two of five may lose their disks."""
         simulation = Simulation(1)
         simulation.settle(60)
         simulation.propose(simulation.leader_or(simulation.nodes['a']))
-        simulation.grow(('d', 'e'))
+        simulation.add_replicas(('d', 'e'))
         simulation.settle(300)
         self.assertThat(simulation.committed_voters(), matchers.HasLength(5))
         for name in ('a', 'b'):
@@ -297,10 +299,10 @@
 
 
 class TestChosenFailures(testtools.TestCase):
-    """What holds whatever fails, with failures chosen step by step."""
+    """Safety under failures that hypothesis chooses step by step."""
 
     def test_promises_hold(self) -> None:
-        """Nothing acknowledged is lost and all replicas apply the same."""
+        """No acknowledged command is lost, and all replicas apply the same."""
         stateful.run_state_machine_as_test(
             _FailingReplicas,
             settings=hypothesis.settings(
@@ -314,10 +316,10 @@
         )
 
 
-def _race_on(simulation: Simulation, rng: random.Random) -> None:
+def _race_repeatedly(simulation: Simulation, rng: random.Random) -> None:
     for _ in range(_RACES):
         simulation.settle(60)
-        _race(simulation, simulation.nodes[rng.choice(NAMES)], rng)
+        _race_elections(simulation, simulation.nodes[rng.choice(NAMES)], rng)
 
 
 _STEP = Simulation.step
@@ -337,22 +339,24 @@
 
 
 class TestPlantedFaults(testtools.TestCase):
-    """The check finds faults that are known to break a promise."""
+    """The simulation detects bugs that are known to violate safety."""
 
     def test_acknowledging_before_the_sync_is_found(self) -> None:
-        """A replica that calls a write synced too early loses changes."""
+        """A replica that reports a write synced too early loses commands."""
         with mock.patch.object(Simulation, 'step', _step_unsynced):
-            self.assertTrue(_finds())
+            self.assertTrue(_finds_violation())
 
     def test_voting_twice_after_a_restart_is_found(self) -> None:
-        """A replica that forgets its vote makes two leaders in a term."""
+        """A replica that forgets its vote allows two leaders in a term."""
         rng = random.Random(1)
         simulation = Simulation(1, _ForgetsVote)
-        self.assertRaises(BrokenPromiseError, _race_on, simulation, rng)
+        self.assertRaises(
+            SafetyViolationError, _race_repeatedly, simulation, rng
+        )
 
     def test_counting_a_replica_early_is_found(self) -> None:
-        """A repaired replica that counts before it caught up loses changes."""
-        original = _raft_members._add_learner
+        """A learner that votes before it caught up loses commands."""
+        original = _raft_membership._add_learner
 
         def add_learner(
             state: RaftState,
@@ -365,29 +369,29 @@
                 lead.progress[member].match_index = state.log.last_index
                 lead.progress[member].is_caught_up = True
 
-        with mock.patch.object(_raft_members, '_add_learner', add_learner):
-            self.assertTrue(_finds())
+        with mock.patch.object(_raft_membership, '_add_learner', add_learner):
+            self.assertTrue(_finds_violation())
 
     def test_taking_a_new_disk_for_the_lost_one_is_found(self) -> None:
-        """A replica that votes as if it remembered loses changes."""
-        self.assertTrue(_finds(_KeepsIncarnation))
+        """A new disk that keeps the vote of the lost one loses commands."""
+        self.assertTrue(_finds_violation(_KeepsIncarnation))
 
 
 class _ForgetsVote(Node):
-    """Remembers the term, but not the vote."""
+    """A replica that remembers the term, but not the vote."""
 
     def load(self) -> StoredState:
-        """Read the disk without the vote."""
+        """Load the disk without the vote."""
         stored = super().load()
         hard = msgspec.structs.replace(stored.hard, vote=None)
         return dataclasses.replace(stored, hard=hard)
 
 
 class _KeepsIncarnation(Node):
-    """Has the same incarnation on each new disk."""
+    """A replica that has the same incarnation on each new disk."""
 
     def load(self) -> StoredState:
-        """Read the disk, always under the same incarnation."""
+        """Load the disk, always with the same incarnation."""
         stored = super().load()
         hard = msgspec.structs.replace(stored.hard, incarnation=1)
         return dataclasses.replace(stored, hard=hard)
--- a/tests/agreement/test_requests.py
+++ b/tests/agreement/test_requests.py
@@ -1,4 +1,4 @@
-"""Check how outcomes find whoever waits for them."""
+"""Test that outcomes are matched to the requests that wait for them."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 import testtools
 
-from wigeonreach.agreement._requests import Applied, PendingRequests
+from wigeonreach.agreement._pending_requests import Applied, PendingRequests
 
 
 class TestRequests(testtools.TestCase):
     """Requests of a replica that restarted."""
 
     def test_answer_to_a_former_process_is_dropped(self) -> None:
-        """A late answer never settles a request of the next process."""
+        """A late reply never resolves a request of the next process."""
         self.assertFalse(asyncio.run(_settles_across_a_restart()))
 
 
--- a/tests/agreement/test_storage.py
+++ b/tests/agreement/test_storage.py
@@ -1,4 +1,4 @@
-"""Check what a replica makes of the files that it finds."""
+"""Test the storage of a replica after crashes, damage and disk errors."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     return Write(index, index, 1, commit_index=index - 1, entries=(entry,))
 
 
-def _filled(count: int) -> tuple[FakeDisk, Storage]:
+def _storage_with_entries(count: int) -> tuple[FakeDisk, Storage]:
     disk = FakeDisk()
     storage = Storage(disk, random.Random(1))
     storage.load()
@@ -33,11 +33,11 @@
 
 
 class TestStorage(testtools.TestCase):
-    """Files after crashes, damage and refusals."""
+    """Storage on a disk that crashes, is damaged or refuses writes."""
 
     def test_torn_tail_is_cut_at_every_length(self) -> None:
-        """What an interrupted write leaves is cut off, all else kept."""
-        disk, storage = _filled(2)
+        """The remains of an interrupted write are removed, all else is kept."""
+        disk, storage = _storage_with_entries(2)
         start = len(disk.read('journal'))
         storage.write([_write(3)])
         whole = disk.read('journal')
@@ -53,8 +53,8 @@
                     self.assertEqual(torn_bytes, stored.torn_bytes)
 
     def test_every_damaged_byte_before_the_end_is_refused(self) -> None:
-        """A changed byte is never taken for a record nor for a torn tail."""
-        disk, storage = _filled(3)
+        """A changed byte is never read as a valid record or a torn tail."""
+        disk, storage = _storage_with_entries(3)
         size = len(disk.read('journal'))
         for offset in range(size):
             disk.damage('journal', offset)
@@ -64,16 +64,16 @@
         self.assertEqual(3, storage.load().log.last_index)
 
     def test_damaged_or_missing_hard_state_is_refused(self) -> None:
-        """A replica never forgets its vote without telling."""
-        disk, storage = _filled(1)
+        """A replica never loses its vote without an error."""
+        disk, storage = _storage_with_entries(1)
         disk.damage('hard-state', 30)
         self.assertRaises(StateError, storage.load)
         disk.remove('hard-state')
         self.assertRaises(StateError, storage.load)
 
     def test_set_aside_begins_as_another_disk(self) -> None:
-        """Damaged files are kept, and the replica may not found anew."""
-        disk, storage = _filled(1)
+        """Damaged files are kept, and the replica may not bootstrap."""
+        disk, storage = _storage_with_entries(1)
         before = storage.load().hard
         after = storage.move_damaged_files().hard
         self.assertNotEqual(before.incarnation, after.incarnation)
@@ -83,8 +83,8 @@
         self.assertThat(kept, matchers.HasLength(2))
 
     def test_full_disk_stores_once_there_is_room(self) -> None:
-        """A refused write leaves nothing behind and can be tried again."""
-        disk, storage = _filled(1)
+        """A refused write leaves nothing behind and can be retried."""
+        disk, storage = _storage_with_entries(1)
         disk.is_full = True
         self.assertRaises(OSError, storage.write, [_write(2)])
         disk.is_full = False
@@ -92,13 +92,13 @@
         self.assertEqual(2, storage.load().log.last_index)
 
     def test_failed_sync_is_no_refusal(self) -> None:
-        """After a failed sync the page cache's word is not taken again."""
-        disk, storage = _filled(1)
+        """A failed sync is not reported as a refusal, which may be retried."""
+        disk, storage = _storage_with_entries(1)
         disk.fails_sync = True
         self.assertRaises(SyncFailedError, storage.write, [_write(2)])
 
     def test_crash_at_every_operation_of_founding(self) -> None:
-        """A folder whose making was interrupted is made again."""
+        """A folder whose initialization was interrupted is initialized again."""
         for operations in range(8):
             disk = FakeDisk(operations_left=operations)
             storage = Storage(disk, random.Random(1))
@@ -109,7 +109,7 @@
             self.assertEqual(0, storage.load().hard.term)
 
     def test_one_process_uses_a_folder(self) -> None:
-        """A second process is refused and told why."""
+        """A second process is refused with the reason."""
         folder = pathlib.Path(tempfile.mkdtemp())
         self.addCleanup(shutil.rmtree, folder)
         disk = FolderDisk(folder)
--- a/tests/builders_raft.py
+++ b/tests/builders_raft.py
@@ -1,4 +1,4 @@
-"""Build replicas on fake disks and a network that loses and reorders."""
+"""Simulate Raft replicas on fake disks and an unreliable network."""
 
 from __future__ import annotations
 
@@ -12,9 +12,7 @@
 from wigeonreach.agreement._raft import Raft
 from wigeonreach.agreement._raft_log import RaftLog, encode_voters
 from wigeonreach.agreement._raft_types import (
-    WritesSynced,
     HardState,
-    RequestOrigin,
     OutgoingMessage,
     Output,
     Propose,
@@ -22,10 +20,12 @@
     RaftSettings,
     Read,
     Received,
+    RequestOrigin,
     Role,
     SnapshotTaken,
     Tick,
     Write,
+    WritesSynced,
 )
 from wigeonreach.agreement._storage import Storage, StoredState
 from wigeonreach.wire._raft_messages import EntryKind, LogEntry, MemberId
@@ -41,8 +41,8 @@
 _COMMANDS = msgspec.msgpack.Decoder(list[bytes])
 
 
-class BrokenPromiseError(AssertionError):
-    """Something happened that must never happen."""
+class SafetyViolationError(AssertionError):
+    """A safety property of Raft was violated."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -61,47 +61,52 @@
     )
 
     def load(self) -> StoredState:
-        """Read the disk at the start of the process."""
+        """Load the stored state at the start of the process."""
         return self.storage.load()
 
 
 class Simulation:
-    """Three replicas of which anything may fail at any moment.
+    """Three replicas on a simulated network, any part of which may fail.
+
+    Every step checks the safety properties: replicas commit the same entries
+    in order, a term has one leader, and reads see acknowledged commands.
 
     Parameters
     ----------
     seed
-        Source of all that the replicas and disks draw.
+        Seed of all random choices of the replicas and disks.
     node_type
-        Type of the replicas; variants with a known fault are planted so.
+        Type of the replicas; used to inject variants with a known bug.
     """
 
     def __init__(self, seed: int, node_type: type[Node] = Node) -> None:
-        """Begin with three empty disks."""
+        """Start three replicas with empty disks."""
         self.rng = random.Random(seed)
         self.now_s = 0.0
         self.in_flight: list[OutgoingMessage] = []
-        self.history: dict[int, LogEntry] = {}
+        self.committed: dict[int, LogEntry] = {}
         self.acknowledged: dict[int, bytes] = {}
         self.leaders: dict[int, MemberId] = {}
         self.reads: dict[int, int] = {}
-        self.done_reads = 0
-        self._serial = 0
-        self.nodes = {name: self._node(name, node_type) for name in NAMES}
+        self.completed_reads = 0
+        self._last_request_id = 0
+        self.nodes = {
+            name: self._create_node(name, node_type) for name in NAMES
+        }
         for node in self.nodes.values():
             self.start(node)
 
-    def grow(self, names: Iterable[str]) -> None:
-        """Add replicas and restart the others with the longer list."""
+    def add_replicas(self, names: Iterable[str]) -> None:
+        """Add replicas, and restart all with the longer list of names."""
         for name in names:
-            self.nodes[name] = self._node(name, Node)
+            self.nodes[name] = self._create_node(name, Node)
         for node in self.nodes.values():
             self.crash(node)
         for restarted in self.nodes.values():
             self.start(restarted)
 
     def start(self, node: Node) -> None:
-        """Start a replica's process, unless it runs."""
+        """Start a replica's process, unless it is running."""
         if node.raft is not None:
             return
         stored = node.load()
@@ -122,12 +127,12 @@
         self.step(node, Tick())
 
     def crash(self, node: Node) -> None:
-        """Kill a process; what was not synced is lost in part."""
+        """Kill a process; a part of the unsynced changes is lost."""
         node.raft = None
         node.disk.crash(self.rng)
 
     def can_lose_a_disk(self) -> bool:
-        """Whether every voter that counts still has its disk."""
+        """Whether all replicas are voters that run on their voting disk."""
         voters = self.committed_voters()
         present = {
             node.raft.state.me for node in self.nodes.values() if node.raft
@@ -135,17 +140,17 @@
         return len(voters) == len(self.nodes) and present.issuperset(voters)
 
     def lose_disk(self, node: Node) -> None:
-        """Kill a process and lose its whole folder."""
+        """Kill a process and erase its disk."""
         node.raft = None
         node.disk.wipe()
 
     def tick(self, node: Node, passed_s: float) -> None:
-        """Let time pass and one replica notice it."""
+        """Advance the clock, and send a tick to one replica."""
         self.now_s += passed_s
         self.step(node, Tick())
 
     def deliver(self, chosen: int, is_kept: bool = False) -> None:
-        """Deliver one message under way, perhaps not for the last time."""
+        """Deliver one message in flight; if kept, it is delivered again."""
         if not self.in_flight:
             return
         place = chosen % len(self.in_flight)
@@ -155,7 +160,7 @@
         self.step(self.nodes[outgoing.target], Received(outgoing.message))
 
     def lose_messages(self, share: float) -> None:
-        """Lose some of the messages under way."""
+        """Lose a random share of the messages in flight."""
         self.in_flight = [
             outgoing
             for outgoing in self.in_flight
@@ -163,7 +168,7 @@
         ]
 
     def write(self, node: Node, crash_after: int | None = None) -> None:
-        """Let a replica's disk work, perhaps until a crash."""
+        """Carry out a replica's pending writes, possibly until a crash."""
         if node.raft is None or not node.writes:
             return
         node.disk.operations_left = crash_after
@@ -178,7 +183,7 @@
         self.step(node, WritesSynced(number))
 
     def leader_or(self, node: Node) -> Node:
-        """Return a replica that leads, or the given one if none does."""
+        """Return a leader, or the given replica if there is none."""
         leading = (
             other
             for other in self.nodes.values()
@@ -187,30 +192,33 @@
         return next(leading, node)
 
     def propose(self, node: Node) -> None:
-        """Ask a replica to store a new command."""
-        self._serial += 1
-        command = f'change-{self._serial}'.encode()
+        """Propose a new command to a replica."""
+        self._last_request_id += 1
+        command = f'change-{self._last_request_id}'.encode()
         if node.raft is not None:
-            origin = RequestOrigin(node.raft.state.me, self._serial)
+            origin = RequestOrigin(node.raft.state.me, self._last_request_id)
             self.step(node, Propose(origin, command), command)
 
     def read(self, node: Node) -> None:
-        """Ask a replica how far a reader must be."""
-        self._serial += 1
+        """Start a read on a replica."""
+        self._last_request_id += 1
         if node.raft is not None:
-            self.reads[self._serial] = max(self.acknowledged, default=0)
+            self.reads[self._last_request_id] = max(
+                self.acknowledged, default=0
+            )
             self.step(
-                node, Read(RequestOrigin(node.raft.state.me, self._serial))
+                node,
+                Read(RequestOrigin(node.raft.state.me, self._last_request_id)),
             )
 
     def snapshot(self, node: Node) -> None:
-        """Let a replica trim its log behind what it applied."""
+        """Take a snapshot on a replica, which compacts its log."""
         if node.raft is not None and node.applied_index:
             state = msgspec.msgpack.encode(node.commands)
             self.step(node, SnapshotTaken(node.applied_index, state))
 
     def settle(self, rounds: int) -> None:
-        """Run without any failure for a while."""
+        """Run without failures for some rounds."""
         for _ in range(rounds):
             for node in self.nodes.values():
                 self.tick(node, 0.02)
@@ -224,7 +232,7 @@
         event: RaftEvent,
         command: bytes = b'',
     ) -> None:
-        """Hand an event to a replica and check what follows."""
+        """Pass an event to a replica, and check its effects."""
         if node.raft is None:
             return
         output = node.raft.step((event,), self.now_s)
@@ -239,44 +247,48 @@
         self._check_leader(node)
 
     def check_converged(self) -> None:
-        """Check that replicas without failures agree on everything."""
+        """Check that all replicas converge once failures stop.
+
+        Every replica must have applied all committed entries, among them
+        every acknowledged command.
+        """
         for node in self.nodes.values():
             self.start(node)
         self.settle(400)
-        last_index = max(self.history)
+        last_index = max(self.committed)
         for node in self.nodes.values():
-            _expect(
+            _check(
                 node.applied_index == last_index,
                 f'{node.name} is at {node.applied_index} of {last_index}',
             )
         kept = set(self.nodes['a'].commands)
         lost = set(self.acknowledged.values()).difference(kept)
-        _expect(not lost, f'lost: {lost}')
+        _check(not lost, f'lost: {lost}')
 
-    def _node(self, name: str, node_type: type[Node]) -> Node:
+    def _create_node(self, name: str, node_type: type[Node]) -> Node:
         disk = FakeDisk()
         rng = random.Random(self.rng.getrandbits(32))
         return node_type(name, disk, Storage(disk, rng))
 
     def _apply(self, node: Node, output: Output) -> None:
         if output.restored is not None:
-            _expect(
+            _check(
                 output.restored.index >= node.applied_index,
                 f'{node.name} went back to {output.restored.index}',
             )
             node.commands = _COMMANDS.decode(output.restored.state)
             node.applied_index = output.restored.index
-            self._check_commands(node)
+            self._check_restored(node)
         for entry in output.committed:
             self._apply_entry(node, entry)
 
     def _apply_entry(self, node: Node, entry: LogEntry) -> None:
-        _expect(
+        _check(
             entry.index == node.applied_index + 1,
             f'{node.name} skips to {entry.index}',
         )
-        known = self.history.setdefault(entry.index, entry)
-        _expect(known == entry, f'{node.name}: {entry} is not {known}')
+        known = self.committed.setdefault(entry.index, entry)
+        _check(known == entry, f'{node.name}: {entry} is not {known}')
         node.applied_index = entry.index
         if entry.kind is EntryKind.COMMAND:
             node.commands.append(entry.command)
@@ -284,17 +296,17 @@
         if term == entry.term:
             self.acknowledged[entry.index] = command
 
-    def _check_commands(self, node: Node) -> None:
+    def _check_restored(self, node: Node) -> None:
         expected = [
             entry.command
-            for index, entry in sorted(self.history.items())
+            for index, entry in sorted(self.committed.items())
             if index <= node.applied_index and entry.kind is EntryKind.COMMAND
         ]
-        _expect(node.commands == expected, f'{node.name} restored another')
+        _check(node.commands == expected, f'{node.name} restored another')
 
     def _check_read(self, request_id: int, index: int) -> None:
-        self.done_reads += 1
-        _expect(index >= self.reads[request_id], 'a read missed a change')
+        self.completed_reads += 1
+        _check(index >= self.reads[request_id], 'a read missed a change')
 
     def _check_leader(self, node: Node) -> None:
         assert node.raft is not None
@@ -302,22 +314,22 @@
         if state.role is not Role.LEADER:
             return
         known = self.leaders.setdefault(state.hard_state.term, state.me)
-        _expect(
+        _check(
             known == state.me,
             f'{known} and {state.me} lead term {state.hard_state.term}',
         )
         for index, command in self.acknowledged.items():
-            self._check_held(node, index, command)
+            self._check_leader_has(node, index, command)
 
-    def _check_held(self, node: Node, index: int, command: bytes) -> None:
+    def _check_leader_has(self, node: Node, index: int, command: bytes) -> None:
         assert node.raft is not None
         state = node.raft.state
-        # Only a leader of a later term has to have it.
-        entry = self.history[index]
+        # Only a leader of the same or a later term must hold the entry.
+        entry = self.committed[index]
         log = state.log
         if entry.term > state.hard_state.term or index <= log.base_index:
             return
-        _expect(
+        _check(
             log.term_at(index) == entry.term,
             f'leader {state.me} of {state.hard_state.term} lacks {command!r}',
         )
@@ -325,7 +337,7 @@
     def committed_voters(self) -> tuple[MemberId, ...]:
         changes = [
             entry
-            for _, entry in sorted(self.history.items())
+            for _, entry in sorted(self.committed.items())
             if entry.kind is EntryKind.VOTERS
         ]
         if not changes:
@@ -336,15 +348,24 @@
         )
 
 
-def _expect(is_kept: bool, promise: str) -> None:
+def _check(is_kept: bool, promise: str) -> None:
     if not is_kept:
-        raise BrokenPromiseError(promise)
+        raise SafetyViolationError(promise)
+
 
+def build_stored_state(
+    name: str, terms: Iterable[tuple[int, int]]
+) -> StoredState:
+    """Return a stored state with a log of commands, none of them committed.
 
-def stored_log(name: str, terms: Iterable[tuple[int, int]]) -> StoredState:
-    """Return a disk with so many entries of each term, none committed.
+    The first entry makes all replicas voters, with incarnation 1.
 
-    All replicas of such logs know each other as voters of incarnation 1.
+    Parameters
+    ----------
+    name
+        Name of the replica.
+    terms
+        Pairs of a term and the number of commands in it.
     """
     voters = tuple(MemberId(voter, 1) for voter in NAMES)
     entries = [LogEntry(1, 1, EntryKind.VOTERS, encode_voters(voters))]
