--- a/src/wigeonreach/rollout/_copy.py
+++ b/src/wigeonreach/rollout/_copy.py
@@ -19,7 +19,7 @@
 )
 
 _COMPRESSION_LEVEL = 6
-_TEXTS = msgspec.msgpack.Decoder(tuple[str, ...])
+_TEXTS_DECODER = msgspec.msgpack.Decoder(tuple[str, ...])
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -65,12 +65,12 @@
         match its checksum.
     """
     if delta.base_version != held.version:
-        raise _unusable(
+        raise _malformed(
             f'delta is based on version {delta.base_version}, '
             f'but version {held.version} is held',
         )
     lines = apply_edits(split_lines(held.text), delta.edits)
-    return _checked(delta.version, ''.join(lines), delta.checksum)
+    return _verified_copy(delta.version, ''.join(lines), delta.checksum)
 
 
 def missing_sections(newest: TextCopy, need: ConfigNeed) -> ConfigSections:
@@ -135,11 +135,13 @@
     received = _unpack(message.packed)
     text = join_sections(received)
     if message.order:
-        text = join_sections(tuple(_ordered(held, received, message.order)))
-    return _checked(message.version, text, message.checksum)
+        text = join_sections(
+            tuple(_sections_in_order(held, received, message.order))
+        )
+    return _verified_copy(message.version, text, message.checksum)
 
 
-def _ordered(
+def _sections_in_order(
     held: TextCopy,
     received: tuple[str, ...],
     order: tuple[int, ...],
@@ -149,14 +151,14 @@
     for digest in order:
         section = by_digest.get(digest)
         if section is None:
-            raise _unusable('a section is missing')
+            raise _malformed('a section is missing')
         yield section
 
 
-def _checked(version: int, text: str, checksum: int) -> TextCopy:
+def _verified_copy(version: int, text: str, checksum: int) -> TextCopy:
     copy = make_copy(version, text)
     if copy.checksum != checksum:
-        raise _unusable(f'checksum mismatch in version {version}')
+        raise _malformed(f'checksum mismatch in version {version}')
     return copy
 
 
@@ -166,10 +168,10 @@
 
 def _unpack(packed: bytes) -> tuple[str, ...]:
     try:
-        return _TEXTS.decode(zlib.decompress(packed))
+        return _TEXTS_DECODER.decode(zlib.decompress(packed))
     except (zlib.error, msgspec.MsgspecError) as error:
-        raise _unusable(str(error)) from error
+        raise _malformed(str(error)) from error
 
 
-def _unusable(detail: str) -> WireError:
+def _malformed(detail: str) -> WireError:
     return WireError(ResultCode.WIRE_MALFORMED, detail)
--- a/src/wigeonreach/rollout/_delta.py
+++ b/src/wigeonreach/rollout/_delta.py
@@ -58,8 +58,8 @@
     tuple of LineEdit
         Edits in ascending order of ``start``, a line number in ``old``.
     """
-    head = _common_head(old, new)
-    tail = _common_tail(old, new, head)
+    head = _common_prefix_length(old, new)
+    tail = _common_suffix_length(old, new, head)
     old_middle = old[head : len(old) - tail]
     new_middle = new[head : len(new) - tail]
     if not old_middle and not new_middle:
@@ -108,7 +108,7 @@
     return new
 
 
-def _common_head(old: Sequence[str], new: Sequence[str]) -> int:
+def _common_prefix_length(old: Sequence[str], new: Sequence[str]) -> int:
     shorter = min(len(old), len(new))
     for number in range(shorter):
         if old[number] != new[number]:
@@ -116,7 +116,9 @@
     return shorter
 
 
-def _common_tail(old: Sequence[str], new: Sequence[str], head: int) -> int:
+def _common_suffix_length(
+    old: Sequence[str], new: Sequence[str], head: int
+) -> int:
     longest = min(len(old), len(new)) - head
     for number in range(longest):
         if old[-1 - number] != new[-1 - number]:
--- a/src/wigeonreach/rollout/_follower.py
+++ b/src/wigeonreach/rollout/_follower.py
@@ -55,15 +55,15 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class SendNeed:
+class RequestSections:
     """Ask the source for the sections that differ."""
 
     need: ConfigNeed
 
 
-Effect: TypeAlias = Hold | SendNeed
+Effect: TypeAlias = Hold | RequestSections
 SourceMessage: TypeAlias = ConfigBeat | ConfigDelta | ConfigSections
-_NOTHING: tuple[Effect, ...] = ()
+_NO_EFFECTS: tuple[Effect, ...] = ()
 
 
 class Follower:
@@ -80,8 +80,8 @@
         self._limits = limits or FollowerLimits()
         self.held = EMPTY_COPY
         self._confirmed_s = -math.inf
-        self._chosen_s = -math.inf
-        self._heard_s = -math.inf
+        self._source_chosen_s = -math.inf
+        self._source_heard_s = -math.inf
         self._source_version = 0
         self._source_confirmed_s = -math.inf
 
@@ -93,8 +93,8 @@
         now_s
             Monotonic time in seconds.
         """
-        self._chosen_s = now_s
-        self._heard_s = now_s
+        self._source_chosen_s = now_s
+        self._source_heard_s = now_s
         self._source_version = 0
         self._source_confirmed_s = -math.inf
 
@@ -121,10 +121,10 @@
         tuple of Effect
             Actions for the caller, in order.
         """
-        self._heard_s = now_s
+        self._source_heard_s = now_s
         match message:
             case ConfigBeat():
-                return self._on_beat(message)
+                return self._on_heartbeat(message)
             case ConfigDelta():
                 return self._on_delta(message)
         return self._on_sections(message)
@@ -144,11 +144,11 @@
             Actions for the caller.
         """
         if message.version <= self.held.version:
-            return _NOTHING
+            return _NO_EFFECTS
         try:
-            return self._hold(merge_sections(self.held, message))
+            return self._install(merge_sections(self.held, message))
         except WireError:
-            return _NOTHING
+            return _NO_EFFECTS
 
     def source_fault(self, now_s: float) -> SourceFault | None:
         """Return why the follower should switch to another source.
@@ -164,10 +164,10 @@
             The first fault found, or None if the source is healthy.
         """
         limits = self._limits
-        watched_s = now_s - self._chosen_s
-        if now_s - self._heard_s > limits.silent_s:
+        watched_s = now_s - self._source_chosen_s
+        if now_s - self._source_heard_s > limits.silent_s:
             return SourceFault.SILENT
-        confirmed_s = max(self._source_confirmed_s, self._chosen_s)
+        confirmed_s = max(self._source_confirmed_s, self._source_chosen_s)
         if now_s - confirmed_s > limits.unconfirmed_s:
             return SourceFault.UNCONFIRMED
         is_behind = self._source_version < self.held.version
@@ -175,46 +175,48 @@
             return SourceFault.BEHIND
         return None
 
-    def _on_beat(self, beat: ConfigBeat) -> tuple[Effect, ...]:
-        self._source_version = beat.version
-        if beat.confirmed_age_s >= 0 and beat.echo_s >= 0:
+    def _on_heartbeat(self, heartbeat: ConfigBeat) -> tuple[Effect, ...]:
+        self._source_version = heartbeat.version
+        if heartbeat.confirmed_age_s >= 0 and heartbeat.echo_s >= 0:
             # ``echo_s`` is the follower's own clock, returned by the source.
             # The arrival time would be wrong if the message was delayed.
-            self._source_confirmed_s = beat.echo_s - beat.confirmed_age_s
-        if beat.version < self.held.version:
-            return _NOTHING
-        if beat.checksum != self.held.checksum:
-            return (SendNeed(self._need()),)
-        if beat.version > self.held.version:
+            self._source_confirmed_s = (
+                heartbeat.echo_s - heartbeat.confirmed_age_s
+            )
+        if heartbeat.version < self.held.version:
+            return _NO_EFFECTS
+        if heartbeat.checksum != self.held.checksum:
+            return (RequestSections(self._sections_request()),)
+        if heartbeat.version > self.held.version:
             # The same text under a newer version: nothing has to be sent.
-            newer = dataclasses.replace(self.held, version=beat.version)
-            return self._hold(newer)
+            newer = dataclasses.replace(self.held, version=heartbeat.version)
+            return self._install(newer)
         self._confirmed_s = max(self._confirmed_s, self._source_confirmed_s)
-        return _NOTHING
+        return _NO_EFFECTS
 
     def _on_delta(self, delta: ConfigDelta) -> tuple[Effect, ...]:
         self._source_version = max(self._source_version, delta.version)
         if delta.version <= self.held.version:
-            return _NOTHING
+            return _NO_EFFECTS
         try:
-            return self._hold(follow_delta(self.held, delta))
+            return self._install(follow_delta(self.held, delta))
         except WireError:
-            return (SendNeed(self._need()),)
+            return (RequestSections(self._sections_request()),)
 
     def _on_sections(self, message: ConfigSections) -> tuple[Effect, ...]:
         self._source_version = max(self._source_version, message.version)
         if message.version < self.held.version:
-            return _NOTHING
+            return _NO_EFFECTS
         try:
-            return self._hold(merge_sections(self.held, message))
+            return self._install(merge_sections(self.held, message))
         except WireError:
-            return (SendNeed(ConfigNeed(0, ())),)
+            return (RequestSections(ConfigNeed(0, ())),)
 
-    def _hold(self, copy: TextCopy) -> tuple[Effect, ...]:
+    def _install(self, copy: TextCopy) -> tuple[Effect, ...]:
         if copy == self.held:
-            return _NOTHING
+            return _NO_EFFECTS
         self.held = copy
         return (Hold(copy),)
 
-    def _need(self) -> ConfigNeed:
+    def _sections_request(self) -> ConfigNeed:
         return ConfigNeed(self.held.version, self.held.digests())
--- a/src/wigeonreach/rollout/_sections.py
+++ b/src/wigeonreach/rollout/_sections.py
@@ -84,14 +84,21 @@
         return f'{subject}: added'
     if new is None:
         return f'{subject}: removed'
-    shown = list(_line_changes(_lines(old, new), _lines(new, old)))
+    shown = list(
+        _line_changes(
+            _lines_of_changed_sections(old, new),
+            _lines_of_changed_sections(new, old),
+        )
+    )
     more = len(shown) - _MAX_LINES_SHOWN
     if more > 0:
         shown = [*shown[:_MAX_LINES_SHOWN], f'{more} more']
     return '{0}: {1}'.format(subject, '; '.join(shown) or 'moved lines')
 
 
-def _lines(sections: list[str], others: list[str]) -> list[str]:
+def _lines_of_changed_sections(
+    sections: list[str], others: list[str]
+) -> list[str]:
     """Return the lines of the sections that the other text does not have."""
     return [
         line.strip()
--- a/src/wigeonreach/state/_client.py
+++ b/src/wigeonreach/state/_client.py
@@ -26,10 +26,10 @@
 
 _REPLY_TIMEOUT_S = 3.0
 _RETRY_S = 0.1
-_GIVE_UP_S = 8.0
+_DEFAULT_GIVE_UP_S = 8.0
 # Far below the time in which other commands displace a revision from the
 # table of known results (see ``Limits.result_age``).
-_REVISION_FRESH_S = 30.0
+_REVISION_MAX_AGE_S = 30.0
 _Answer = TypeVar('_Answer', bound=WireMessage)
 _Envelope = TypeVar('_Envelope', Submitted, Answered)
 _REPLY_DECODER = msgspec.msgpack.Decoder(Reply)
@@ -75,7 +75,7 @@
         author: str,
         replicas: Sequence[Member],
         now_s: Callable[[], float] = time.time,
-        give_up_s: float = _GIVE_UP_S,
+        give_up_s: float = _DEFAULT_GIVE_UP_S,
     ) -> None:
         """Create a client; connections are opened for each request."""
         self._author = author
@@ -131,7 +131,7 @@
             been executed.
         """
         submit = Submit(msgspec.msgpack.encode(command))
-        submitted = await self._until_done(submit, Submitted)
+        submitted = await self._request_until_answered(submit, Submitted)
         reply = _REPLY_DECODER.decode(submitted.reply)
         self._note_revision(reply.revision)
         return reply
@@ -165,7 +165,9 @@
         StateError
             If no replica answered in time.
         """
-        answered = await self._until_done(Ask(question, is_local), Answered)
+        answered = await self._request_until_answered(
+            Ask(question, is_local), Answered
+        )
         self._note_revision(answered.revision)
         if isinstance(answered.answer, answer_type):
             return answered.answer
@@ -173,34 +175,34 @@
 
     async def _refresh_revision(self) -> None:
         age_s = self._now_s() - self._revision_read_s
-        if age_s > _REVISION_FRESH_S:
+        if age_s > _REVISION_MAX_AGE_S:
             # The cheapest question; only the revision in its answer is used.
             question = Ask(ReadLease(''))
-            answered = await self._until_done(question, Answered)
+            answered = await self._request_until_answered(question, Answered)
             self._note_revision(answered.revision)
 
     def _note_revision(self, revision: int) -> None:
         self._revision = max(self._revision, revision)
         self._revision_read_s = self._now_s()
 
-    async def _until_done(
+    async def _request_until_answered(
         self,
         message: WireMessage,
         reply_type: type[_Envelope],
     ) -> _Envelope:
-        ends_s = time.monotonic() + self._give_up_s
+        deadline_s = time.monotonic() + self._give_up_s
         reason = 'no replica is known'
-        while time.monotonic() < ends_s:
+        while time.monotonic() < deadline_s:
             for replica in self._replicas:
                 try:
-                    return await _ask_one(replica, message, reply_type)
+                    return await _request_once(replica, message, reply_type)
                 except (StateError, WireError) as error:
                     reason = f'{replica.name}: {error.detail}'
             await asyncio.sleep(_RETRY_S)
         raise StateError(ResultCode.STATE_NO_QUORUM, reason)
 
 
-async def _ask_one(
+async def _request_once(
     replica: Member,
     message: WireMessage,
     reply_type: type[_Envelope],
--- a/src/wigeonreach/state/_feed.py
+++ b/src/wigeonreach/state/_feed.py
@@ -12,10 +12,10 @@
     ConfigSections,
 )
 
-_MAX_CACHED = 256
+_MAX_CACHED_DELTAS = 256
 
 
-class Feed:
+class TextFeed:
     """The newest text of a replica, and deltas to it from older versions.
 
     Many followers hold the same version, so each delta is computed once and
@@ -25,17 +25,17 @@
     def __init__(self) -> None:
         """Start with version 0, the empty text."""
         self._newest = make_copy(0, '')
-        self._steps: dict[tuple[int, int], ConfigDelta | None] = {}
+        self._deltas: dict[tuple[int, int], ConfigDelta | None] = {}
 
     def newest(self, state: MachineState) -> TextCopy:
         """Return the newest version that this replica has applied."""
         accepted = state.accepted
         if accepted.version != self._newest.version:
             self._newest = make_copy(accepted.version, accepted.text)
-            self._steps.clear()
+            self._deltas.clear()
         return self._newest
 
-    def step(
+    def delta_from(
         self,
         state: MachineState,
         version: int,
@@ -61,13 +61,13 @@
             return None
         newest = self.newest(state)
         key = (version, checksum)
-        if key not in self._steps:
-            if len(self._steps) >= _MAX_CACHED:
-                self._steps.clear()
-            self._steps[key] = _find_step(state, newest, version, checksum)
-        return self._steps[key]
+        if key not in self._deltas:
+            if len(self._deltas) >= _MAX_CACHED_DELTAS:
+                self._deltas.clear()
+            self._deltas[key] = _make_delta(state, newest, version, checksum)
+        return self._deltas[key]
 
-    def missing(
+    def missing_sections(
         self,
         state: MachineState,
         need: ConfigNeed,
@@ -76,7 +76,7 @@
         return missing_sections(self.newest(state), need)
 
 
-def _find_step(
+def _make_delta(
     state: MachineState,
     newest: TextCopy,
     version: int,
--- a/src/wigeonreach/state/_machine.py
+++ b/src/wigeonreach/state/_machine.py
@@ -12,8 +12,11 @@
     _machine_vms,
     _machine_waves,
 )
-from wigeonreach.state._machine_dispatch import Context, answer, perform
-from wigeonreach.state._machine_results import earlier_reply, remember_reply
+from wigeonreach.state._machine_dispatch import Context, answer, execute
+from wigeonreach.state._machine_results import (
+    remember_reply,
+    reply_without_execution,
+)
 from wigeonreach.state._machine_state import Limits, MachineState
 from wigeonreach.wire._command_messages import Command, Reply
 from wigeonreach.wire._state_messages import Answer, Question
@@ -87,14 +90,16 @@
 
     def known_reply(self, command: Command) -> Reply | None:
         """Return the reply to a command that must not be executed again."""
-        return earlier_reply(Context(self.state, self._limits, command))
+        return reply_without_execution(
+            Context(self.state, self._limits, command)
+        )
 
     def _apply(self, command: Command) -> Reply:
         self.state.clock_s = max(self.state.clock_s, command.at_s)
         context = Context(self.state, self._limits, command)
-        reply = earlier_reply(context)
+        reply = reply_without_execution(context)
         if reply is None:
-            reply = perform(command.action, context)
+            reply = execute(command.action, context)
             remember_reply(context, reply)
         return reply
 
--- a/src/wigeonreach/state/_machine_dispatch.py
+++ b/src/wigeonreach/state/_machine_dispatch.py
@@ -19,7 +19,7 @@
     limits: Limits
     command: Command
 
-    def done(self, version: int = 0, token: int = 0) -> Reply:
+    def succeeded(self, version: int = 0, token: int = 0) -> Reply:
         """Return the reply to a command that was executed."""
         return Reply(ResultCode.OK, '', self.state.revision, version, token)
 
@@ -34,7 +34,7 @@
 
 
 @functools.singledispatch
-def perform(action: Action, context: Context) -> Reply:
+def execute(action: Action, context: Context) -> Reply:
     """Execute the action of a command.
 
     Parameters
--- a/src/wigeonreach/state/_machine_processes.py
+++ b/src/wigeonreach/state/_machine_processes.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from wigeonreach.state._machine_dispatch import Context, answer, perform
+from wigeonreach.state._machine_dispatch import Context, answer, execute
 from wigeonreach.state._machine_state import MachineState
 from wigeonreach.wire._command_messages import (
     ForgetProcess,
@@ -18,7 +18,7 @@
 _FORGET_AFTER_S = 86_400.0
 
 
-@perform.register
+@execute.register
 def register_process(action: RegisterProcess, context: Context) -> Reply:
     """Register a process, and drop those not registered again for a day."""
     state = context.state
@@ -33,14 +33,14 @@
         for name, record in state.processes.items()
         if record.registered_s >= oldest_s
     }
-    return context.done()
+    return context.succeeded()
 
 
-@perform.register
+@execute.register
 def forget_process(action: ForgetProcess, context: Context) -> Reply:
     """Remove a process that ended for good."""
     context.state.processes.pop(action.process, None)
-    return context.done()
+    return context.succeeded()
 
 
 @answer.register
--- a/src/wigeonreach/state/_machine_results.py
+++ b/src/wigeonreach/state/_machine_results.py
@@ -16,12 +16,12 @@
     RestoreText,
 )
 
-_TEXTS = (ChangeText, EditText, RestoreText)
+_TEXT_ACTIONS = (ChangeText, EditText, RestoreText)
 # Idempotent actions; their replies need not be remembered.
-_REPEATABLE = (ForgetProcess, RegisterProcess, RenewLease, RenewVm)
+_IDEMPOTENT_ACTIONS = (ForgetProcess, RegisterProcess, RenewLease, RenewVm)
 
 
-def earlier_reply(context: Context) -> Reply | None:
+def reply_without_execution(context: Context) -> Reply | None:
     """Return the reply to a command that must not be executed.
 
     Parameters
@@ -36,12 +36,12 @@
         that its reply may have been dropped; None if it is to be executed.
     """
     command = context.command
-    if isinstance(command.action, _REPEATABLE):
+    if isinstance(command.action, _IDEMPOTENT_ACTIONS):
         return None
     table = context.state.results
-    known = table.results.get(command.command_id)
-    if known is not None:
-        return known.reply
+    result = table.results.get(command.command_id)
+    if result is not None:
+        return result.reply
     if command.seen_revision >= table.forgotten_revision:
         return None
     return context.refused(
@@ -63,18 +63,18 @@
     """
     state = context.state
     command = context.command
-    if not isinstance(command.action, _REPEATABLE):
-        is_text = isinstance(command.action, _TEXTS)
+    if not isinstance(command.action, _IDEMPOTENT_ACTIONS):
+        is_text = isinstance(command.action, _TEXT_ACTIONS)
         is_accepted = is_text and reply.code == ResultCode.OK
         state.results.results[command.command_id] = KnownResult(
             state.revision,
             reply,
             reply.version if is_accepted else 0,
         )
-    _drop_old(state, context.limits)
+    _drop_old_results(state, context.limits)
 
 
-def _drop_old(state: MachineState, limits: Limits) -> None:
+def _drop_old_results(state: MachineState, limits: Limits) -> None:
     table = state.results
     oldest_kept = state.revision - limits.result_age
     while table.results:
--- a/src/wigeonreach/state/_machine_texts.py
+++ b/src/wigeonreach/state/_machine_texts.py
@@ -14,7 +14,7 @@
     find_edits,
     split_lines,
 )
-from wigeonreach.state._machine_dispatch import Context, answer, perform
+from wigeonreach.state._machine_dispatch import Context, answer, execute
 from wigeonreach.state._machine_state import (
     AcceptedState,
     MachineState,
@@ -40,7 +40,7 @@
 _TOO_OLD = 'too_old'
 _OUTDATED = 'outdated'
 _MAX_DETAIL_CHARS = 1000
-_ENTRY_BYTES = 200
+_ENTRY_OVERHEAD_BYTES = 200
 
 
 def text_of(accepted: AcceptedState, version: int) -> str | None:
@@ -67,17 +67,17 @@
     return ''.join(lines)
 
 
-@perform.register
+@execute.register
 def change_text(action: ChangeText, context: Context) -> Reply:
     """Accept a text that is based on the newest version."""
-    refusal = _review(context, action.base_version)
+    refusal = _refuse_outdated(context, action.base_version)
     return refusal or _accept(context, action.text, '')
 
 
-@perform.register
+@execute.register
 def edit_text(action: EditText, context: Context) -> Reply:
     """Accept a text that is given as edits of the newest version."""
-    refusal = _review(context, action.base_version)
+    refusal = _refuse_outdated(context, action.base_version)
     if refusal is not None:
         return refusal
     base = split_lines(context.state.accepted.text)
@@ -113,11 +113,11 @@
     return EditText(action.base_version, edits, checksum)
 
 
-@perform.register
+@execute.register
 def restore_text(action: RestoreText, context: Context) -> Reply:
     """Accept the text of a past version again, as a new version."""
     accepted = context.state.accepted
-    refusal = _review(context, action.base_version)
+    refusal = _refuse_outdated(context, action.base_version)
     if refusal is not None:
         return refusal
     text = text_of(accepted, action.version)
@@ -152,7 +152,7 @@
     return History(tuple(past.entry for past in newest_first))
 
 
-def _review(context: Context, base_version: int) -> Reply | None:
+def _refuse_outdated(context: Context, base_version: int) -> Reply | None:
     state = context.state
     event = _VALID
     if base_version < state.results.forgotten_version:
@@ -169,7 +169,7 @@
                 'accepted is not remembered; read the history',
                 state.accepted.version,
             )
-    return _conflict(context, base_version)
+    return _conflict_reply(context, base_version)
 
 
 def _accept(context: Context, text: str, note: str) -> Reply:
@@ -178,11 +178,11 @@
     summary = note + ' | '.join(describe_changes(accepted.text, text))
     accepted.version += 1
     accepted.text = text
-    _remember(context, back_edits, summary[:_MAX_DETAIL_CHARS])
-    return context.done(accepted.version)
+    _append_history(context, back_edits, summary[:_MAX_DETAIL_CHARS])
+    return context.succeeded(accepted.version)
 
 
-def _remember(
+def _append_history(
     context: Context,
     back_edits: tuple[LineEdit, ...],
     summary: str,
@@ -196,14 +196,14 @@
         command.at_s,
         summary,
     )
-    size_bytes = _ENTRY_BYTES + len(summary) + _size_bytes(back_edits)
+    size_bytes = _ENTRY_OVERHEAD_BYTES + len(summary) + _size_bytes(back_edits)
     accepted.past.append(PastVersion(entry, back_edits, size_bytes))
     accepted.past_bytes += size_bytes
-    while _is_too_long(context):
+    while _exceeds_limits(context):
         accepted.past_bytes -= accepted.past.pop(0).size_bytes
 
 
-def _is_too_long(context: Context) -> bool:
+def _exceeds_limits(context: Context) -> bool:
     accepted = context.state.accepted
     return len(accepted.past) > 1 and (
         len(accepted.past) > context.limits.history
@@ -215,7 +215,7 @@
     return sum(len(line) for edit in edits for line in edit.added)
 
 
-def _conflict(context: Context, base_version: int) -> Reply:
+def _conflict_reply(context: Context, base_version: int) -> Reply:
     accepted = context.state.accepted
     base = text_of(accepted, base_version)
     if base is None:
--- a/src/wigeonreach/state/_machine_waves.py
+++ b/src/wigeonreach/state/_machine_waves.py
@@ -6,7 +6,7 @@
 
 from wigeonreach.charts import load_chart
 from wigeonreach.codes import ResultCode
-from wigeonreach.state._machine_dispatch import Context, answer, perform
+from wigeonreach.state._machine_dispatch import Context, answer, execute
 from wigeonreach.state._machine_state import MachineState
 from wigeonreach.wire._command_messages import (
     RecordWave,
@@ -19,15 +19,15 @@
 _CHART = load_chart('wave_phase')
 
 
-@perform.register
+@execute.register
 def start_wave(action: StartWave, context: Context) -> Reply:
     """Record a new wave."""
-    known = context.state.waves.get(action.wave_id)
-    if known is not None:
+    record = context.state.waves.get(action.wave_id)
+    if record is not None:
         return context.refused(
             ResultCode.STATE_RECORD_CHANGED,
-            f'wave {action.wave_id!r} exists since {known.at_s:.0f}',
-            known.version,
+            f'wave {action.wave_id!r} exists since {record.at_s:.0f}',
+            record.version,
         )
     command = context.command
     context.state.waves[action.wave_id] = WaveRecord(
@@ -38,38 +38,38 @@
         at_s=command.at_s,
         body=action.body,
     )
-    _forget_ended(context)
-    return context.done(version=1)
+    _drop_oldest_ended(context)
+    return context.succeeded(version=1)
 
 
-@perform.register
+@execute.register
 def steer_wave(action: SteerWave, context: Context) -> Reply:
     """Pause, resume or stop a wave."""
-    known = context.state.waves.get(action.wave_id)
-    if known is None:
-        return _unknown(context, action.wave_id)
-    return _step(context, known, action.event, known.body)
+    record = context.state.waves.get(action.wave_id)
+    if record is None:
+        return _refuse_unknown(context, action.wave_id)
+    return _transition(context, record, action.event, record.body)
 
 
-@perform.register
+@execute.register
 def record_wave(action: RecordWave, context: Context) -> Reply:
     """Record progress of a wave, if its record did not change meanwhile."""
-    known = context.state.waves.get(action.wave_id)
-    if known is None:
-        return _unknown(context, action.wave_id)
-    if known.version != action.record_version:
+    record = context.state.waves.get(action.wave_id)
+    if record is None:
+        return _refuse_unknown(context, action.wave_id)
+    if record.version != action.record_version:
         return context.refused(
             ResultCode.STATE_RECORD_CHANGED,
-            f'based on {action.record_version}, now {known.version}',
-            known.version,
+            f'based on {action.record_version}, now {record.version}',
+            record.version,
         )
     if action.lease and not _is_newest_token(context, action):
         return context.refused(
             ResultCode.STATE_NOT_HELD,
             f'token {action.token} of lease {action.lease!r} is not the newest',
-            known.version,
+            record.version,
         )
-    return _step(context, known, action.event, action.body)
+    return _transition(context, record, action.event, action.body)
 
 
 @answer.register
@@ -78,27 +78,27 @@
     return Waves(tuple(state.waves.values()))
 
 
-def _step(
+def _transition(
     context: Context,
-    known: WaveRecord,
+    record: WaveRecord,
     event: str,
     body: bytes,
 ) -> Reply:
-    phase = _CHART.step(known.phase, event) if event else known.phase
+    phase = _CHART.step(record.phase, event) if event else record.phase
     if phase is None:
-        allowed = ', '.join(_CHART.events(known.phase)) or 'nothing'
+        allowed = ', '.join(_CHART.events(record.phase)) or 'nothing'
         return context.refused(
             ResultCode.STATE_NOT_ALLOWED,
-            f'{event!r} while {known.phase}; allowed: {allowed}',
-            known.version,
+            f'{event!r} while {record.phase}; allowed: {allowed}',
+            record.version,
         )
-    context.state.waves[known.wave_id] = msgspec.structs.replace(
-        known,
-        version=known.version + 1,
+    context.state.waves[record.wave_id] = msgspec.structs.replace(
+        record,
+        version=record.version + 1,
         phase=phase,
         body=body,
     )
-    return context.done(version=known.version + 1)
+    return context.succeeded(version=record.version + 1)
 
 
 def _is_newest_token(context: Context, action: RecordWave) -> bool:
@@ -106,14 +106,14 @@
     return lease is not None and lease.token == action.token
 
 
-def _unknown(context: Context, wave_id: str) -> Reply:
+def _refuse_unknown(context: Context, wave_id: str) -> Reply:
     return context.refused(
         ResultCode.STATE_UNKNOWN_RECORD,
         f'there is no wave {wave_id!r}',
     )
 
 
-def _forget_ended(context: Context) -> None:
+def _drop_oldest_ended(context: Context) -> None:
     waves = context.state.waves
     ended = [
         wave_id
--- a/src/wigeonreach/state/_replica.py
+++ b/src/wigeonreach/state/_replica.py
@@ -16,8 +16,8 @@
 )
 from wigeonreach.codes import ExitCode
 from wigeonreach.observe import LogEvent, Logger
-from wigeonreach.state._front import Front
 from wigeonreach.state._machine import Machine
+from wigeonreach.state._request_handler import RequestHandler
 from wigeonreach.wire import Channel, serve
 from wigeonreach.wire._raft_messages import (
     LinkEcho,
@@ -52,16 +52,18 @@
             machine,
             storage,
             stored,
-            self._leave,
+            self._exit_on_failure,
             logger,
         )
-        self._front = Front(settings, self._agreement, machine, logger)
+        self._request_handler = RequestHandler(
+            settings, self._agreement, machine, logger
+        )
         self._server: asyncio.Server | None = None
 
     async def on_start(self) -> None:
         """Join the other replicas and start to listen."""
         await self.add_runtime_dependency(self._agreement)
-        await self.add_runtime_dependency(self._front)
+        await self.add_runtime_dependency(self._request_handler)
         self._server = await serve(self._settings.listen, self._on_channel)
 
     async def drain(self) -> None:
@@ -84,9 +86,9 @@
             elif isinstance(message, LinkProbe):
                 channel.post(LinkEcho())
             else:
-                await self._front.handle(channel, message)
+                await self._request_handler.handle(channel, message)
 
-    def _leave(self, error: Exception) -> None:
+    def _exit_on_failure(self, error: Exception) -> None:
         # After a failed sync the state in memory may not be on disk, so the
         # process ends at once, without answering pending requests.
         self._log.warning(LogEvent.REPLICA_FAILED, reason=repr(error))
--- a/src/wigeonreach/state/_request_handler.py
+++ b/src/wigeonreach/state/_request_handler.py
@@ -15,7 +15,7 @@
 from wigeonreach.exceptions import FleetTextError, StateError
 from wigeonreach.observe import LogEvent, Logger
 from wigeonreach.rollout._copy import TextCopy
-from wigeonreach.state._feed import Feed
+from wigeonreach.state._feed import TextFeed
 from wigeonreach.state._machine import Machine
 from wigeonreach.state._machine_state import AcceptedState
 from wigeonreach.state._machine_texts import as_edits
@@ -41,14 +41,14 @@
 )
 from wigeonreach.wire._state_messages import Answered, Ask, Submit, Submitted
 
-_CONFIRM_S = 1.0
+_CONFIRM_INTERVAL_S = 1.0
 _CONFIRM_TIMEOUT_S = 2.0
-_REGISTER_AGAIN_S = 3600.0
+_REGISTRATION_REFRESH_S = 3600.0
 _REPLY_DECODER = msgspec.msgpack.Decoder(Reply)
 _COMMAND_DECODER = msgspec.msgpack.Decoder(Command)
 
 
-class Front(mode.Service):
+class RequestHandler(mode.Service):
     """Handles commands and reads, and pushes new versions to followers.
 
     Parameters
@@ -76,11 +76,11 @@
         self._agreement = agreement
         self._machine = machine
         self._log = logger
-        self._feed = Feed()
+        self._feed = TextFeed()
         self._reader = TextReader()
-        self._reading = asyncio.Lock()
-        self._moved = asyncio.Condition()
-        self._confirmed_s = -math.inf
+        self._read_lock = asyncio.Lock()
+        self._version_changed = asyncio.Condition()
+        self._last_confirmed_s = -math.inf
         self._subscriptions: list[Subscription] = []
 
     async def handle(self, channel: Channel, message: Message) -> bool:
@@ -115,19 +115,19 @@
         """Return the newest version that is applied here."""
         return self._feed.newest(self._machine.state)
 
-    def step(self, version: int, checksum: int) -> ConfigDelta | None:
+    def delta_from(self, version: int, checksum: int) -> ConfigDelta | None:
         """Return the delta from a version to the newest, if there is one."""
-        return self._feed.step(self._machine.state, version, checksum)
+        return self._feed.delta_from(self._machine.state, version, checksum)
 
-    def missing(self, need: ConfigNeed) -> ConfigSections:
+    def missing_sections(self, need: ConfigNeed) -> ConfigSections:
         """Return the sections that a follower lacks."""
-        return self._feed.missing(self._machine.state, need)
+        return self._feed.missing_sections(self._machine.state, need)
 
     def confirmed_age_s(self) -> float:
         """Return seconds since a quorum confirmed; -1 if it never did."""
-        if self._confirmed_s == -math.inf:
+        if self._last_confirmed_s == -math.inf:
             return -1
-        return time.monotonic() - self._confirmed_s
+        return time.monotonic() - self._last_confirmed_s
 
     async def wait_newer(self, version: int, timeout_s: float) -> None:
         """Wait for a newer version, at most ``timeout_s`` seconds."""
@@ -135,12 +135,12 @@
         if accepted.version > version:
             return
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(timeout_s), self._moved:
-                await self._moved.wait()
+            async with asyncio.timeout(timeout_s), self._version_changed:
+                await self._version_changed.wait()
 
-    def forget(self, process: str) -> None:
+    def forget_process(self, process: str) -> None:
         """Remove a process that ended for good from the registered ones."""
-        self.add_future(self._propose_quietly(ForgetProcess(process)))
+        self.add_future(self._propose_ignoring_reply(ForgetProcess(process)))
 
     @mode.Service.task
     async def _confirm(self) -> None:
@@ -151,8 +151,8 @@
                     await self._agreement.read_barrier()
                 # Everything accepted before the read barrier started is
                 # applied here, so the start is the time that counts.
-                self._confirmed_s = started_s
-            await self.sleep(_CONFIRM_S)
+                self._last_confirmed_s = started_s
+            await self.sleep(_CONFIRM_INTERVAL_S)
 
     @mode.Service.task
     async def _watch(self) -> None:
@@ -162,8 +162,8 @@
             applied = await self._agreement.wait_applied(applied)
             if self._machine.state.accepted.version != version:
                 version = self._machine.state.accepted.version
-                async with self._moved:
-                    self._moved.notify_all()
+                async with self._version_changed:
+                    self._version_changed.notify_all()
 
     async def _submit(self, submit: Submit) -> Submitted:
         try:
@@ -172,7 +172,7 @@
             return Submitted(ResultCode.WIRE_MALFORMED, str(error), b'')
         reply = self._machine.known_reply(command)
         if reply is None:
-            reply = await self._fault(command)
+            reply = await self._refuse_invalid_text(command)
         if reply is not None:
             return Submitted(ResultCode.OK, '', msgspec.msgpack.encode(reply))
         return await self._propose(command)
@@ -183,7 +183,7 @@
         stamped = msgspec.structs.replace(
             command,
             at_s=min(command.at_s, time.time()),
-            action=await self._shortened(command.action),
+            action=await self._as_smaller_action(command.action),
         )
         try:
             reply = await self._agreement.propose(
@@ -194,7 +194,7 @@
         self._log_change(command, _REPLY_DECODER.decode(reply))
         return Submitted(ResultCode.OK, '', reply)
 
-    async def _shortened(self, action: Action) -> Action:
+    async def _as_smaller_action(self, action: Action) -> Action:
         if not isinstance(action, ChangeText):
             return action
         accepted = self._machine.state.accepted
@@ -218,12 +218,12 @@
             change_id=command.command_id,
         )
 
-    async def _fault(self, command: Command) -> Reply | None:
+    async def _refuse_invalid_text(self, command: Command) -> Reply | None:
         """Return the refusal of an invalid text, or None if it is valid."""
         if not isinstance(command.action, ChangeText):
             return None
         try:
-            await self._read_text(command.action.text)
+            await self._validate_text(command.action.text)
         except FleetTextError as error:
             self._log.info(LogEvent.CHANGE_REFUSED, code=error.code)
             return Reply(
@@ -234,10 +234,10 @@
             )
         return None
 
-    async def _read_text(self, text: str) -> None:
+    async def _validate_text(self, text: str) -> None:
         # In a thread, so that a large text does not delay heartbeats; one at
         # a time, because the reader reuses parts of the previous text.
-        async with self._reading:
+        async with self._read_lock:
             await asyncio.to_thread(self._reader.read, text)
 
     async def _answer(self, ask: Ask) -> Answered:
@@ -263,13 +263,13 @@
             self._subscriptions.remove(subscription)
 
     def _register(self, follow: Follow) -> None:
-        known = self._machine.state.processes.get(follow.process)
-        oldest_s = time.time() - _REGISTER_AGAIN_S
-        if known is None or known.registered_s < oldest_s:
+        record = self._machine.state.processes.get(follow.process)
+        oldest_s = time.time() - _REGISTRATION_REFRESH_S
+        if record is None or record.registered_s < oldest_s:
             action = RegisterProcess(follow.process, follow.zone)
-            self.add_future(self._propose_quietly(action))
+            self.add_future(self._propose_ignoring_reply(action))
 
-    async def _propose_quietly(self, action: Action) -> None:
+    async def _propose_ignoring_reply(self, action: Action) -> None:
         command = Command(
             command_id='',
             seen_revision=self._machine.state.revision,
--- a/src/wigeonreach/state/_subscription.py
+++ b/src/wigeonreach/state/_subscription.py
@@ -20,8 +20,8 @@
 )
 
 # Upper limit of the time until the end of a connection is noticed.
-_LOOK_S = 1.0
-_NEVER_S = -1.0
+_POLL_INTERVAL_S = 1.0
+_NO_ECHO_S = -1.0
 
 
 class TextSource(Protocol):
@@ -30,10 +30,10 @@
     def newest(self) -> TextCopy:
         """Return the newest version."""
 
-    def step(self, version: int, checksum: int) -> ConfigDelta | None:
+    def delta_from(self, version: int, checksum: int) -> ConfigDelta | None:
         """Return the delta from a version to the newest, if there is one."""
 
-    def missing(self, need: ConfigNeed) -> ConfigSections:
+    def missing_sections(self, need: ConfigNeed) -> ConfigSections:
         """Return the sections that a follower lacks."""
 
     def confirmed_age_s(self) -> float:
@@ -42,7 +42,7 @@
     async def wait_newer(self, version: int, timeout_s: float) -> None:
         """Wait for a newer version, at most ``timeout_s`` seconds."""
 
-    def forget(self, process: str) -> None:
+    def forget_process(self, process: str) -> None:
         """Remove a process that ended for good from the registered ones."""
 
 
@@ -70,7 +70,7 @@
         self._source = source
         self._sent_version = follow.version
         self._sent_checksum = follow.checksum
-        self._echo_s = _NEVER_S
+        self._echo_s = _NO_ECHO_S
         self.status = FollowerStatus(
             follow.process,
             follow.zone,
@@ -79,34 +79,34 @@
 
     async def run(self) -> None:
         """Push new versions until the connection ends."""
-        reading = asyncio.ensure_future(self._read())
+        reader = asyncio.ensure_future(self._read())
         try:
-            await self._push(reading)
+            await self._push(reader)
         except OSError:
             return
         finally:
-            reading.cancel()
+            reader.cancel()
 
-    async def _push(self, reading: asyncio.Future[None]) -> None:
-        while not reading.done():
+    async def _push(self, reader: asyncio.Future[None]) -> None:
+        while not reader.done():
             is_behind = self._sent_version < self._source.newest().version
             if is_behind:
                 self._post_newest()
             await self._channel.drain()
-            await self._source.wait_newer(self._sent_version, _LOOK_S)
+            await self._source.wait_newer(self._sent_version, _POLL_INTERVAL_S)
 
     def _post_newest(self) -> None:
         newest = self._source.newest()
-        step = self._source.step(self._sent_version, self._sent_checksum)
+        step = self._source.delta_from(self._sent_version, self._sent_checksum)
         self._sent_version = newest.version
         self._sent_checksum = newest.checksum
         if step is None:
             # The follower then asks for the sections that it lacks.
-            self._post_beat()
+            self._post_heartbeat()
         else:
             self._channel.post(step)
 
-    def _post_beat(self) -> None:
+    def _post_heartbeat(self) -> None:
         newest = self._source.newest()
         self._channel.post(
             ConfigBeat(
@@ -125,11 +125,11 @@
                 return
             match message:
                 case ConfigNeed():
-                    self._channel.post(self._source.missing(message))
+                    self._channel.post(self._source.missing_sections(message))
                 case ConfigInForce():
                     self._note_in_force(message)
                 case Unfollow():
-                    self._source.forget(message.process)
+                    self._source.forget_process(message.process)
 
     def _note_in_force(self, message: ConfigInForce) -> None:
         self.status = FollowerStatus(
@@ -138,4 +138,4 @@
             message.version,
         )
         self._echo_s = message.sent_s
-        self._post_beat()
+        self._post_heartbeat()
--- a/tests/rollout/test_follower.py
+++ b/tests/rollout/test_follower.py
@@ -12,10 +12,10 @@
     Effect,
     Follower,
     Hold,
-    SendNeed,
+    RequestSections,
     SourceFault,
 )
-from wigeonreach.state._feed import Feed
+from wigeonreach.state._feed import TextFeed
 from wigeonreach.state._machine import Machine
 from wigeonreach.wire._command_messages import ChangeText
 from wigeonreach.wire._rollout_messages import ConfigBeat, ConfigNeed
@@ -28,7 +28,7 @@
         """Accept three texts."""
         super().setUp()
         self.machine = Machine()
-        self.feed = Feed()
+        self.feed = TextFeed()
         self.follower = Follower()
         self.texts = [f'{SAMPLE_TEXT}# {number}\n' for number in range(3)]
         for base, text in enumerate(self.texts):
@@ -58,7 +58,7 @@
         old = make_copy(1, self.texts[0])
         self.follower.held = old
 
-        step = self.feed.step(self.machine.state, 1, old.checksum)
+        step = self.feed.delta_from(self.machine.state, 1, old.checksum)
         assert step is not None
         effects = self.follower.on_message(step, 0)
 
@@ -70,11 +70,13 @@
         self.follower.held = make_copy(2, f'{SAMPLE_TEXT}# damaged\n')
 
         effect = self.beat(0, 0)[0]
-        assert isinstance(effect, SendNeed)
-        sections = self.feed.missing(self.machine.state, effect.need)
+        assert isinstance(effect, RequestSections)
+        sections = self.feed.missing_sections(self.machine.state, effect.need)
         held = self.follower.on_message(sections, 0)
 
-        whole = self.feed.missing(self.machine.state, ConfigNeed(0, ()))
+        whole = self.feed.missing_sections(
+            self.machine.state, ConfigNeed(0, ())
+        )
         self.assertThat(held, Equals((Hold(self.newest),)))
         self.assertThat(len(sections.packed), LessThan(len(whole.packed)))
 
--- a/tests/state/model.py
+++ b/tests/state/model.py
@@ -15,7 +15,7 @@
 
 from wigeonreach.rollout._copy import make_copy
 from wigeonreach.rollout._follower import Follower, SourceMessage
-from wigeonreach.state._feed import Feed
+from wigeonreach.state._feed import TextFeed
 from wigeonreach.state._holding import Fence, Holding
 from wigeonreach.state._machine import Machine
 from wigeonreach.wire._command_messages import (
@@ -40,7 +40,7 @@
 
 
 @dataclasses.dataclass
-class _Act:
+class _PausedAction:
     """An action on a VM by a process that was paused after its lease check."""
 
     vm: str
@@ -53,11 +53,13 @@
 
     log: list[bytes] = dataclasses.field(default_factory=list)
     sent: list[Command] = dataclasses.field(default_factory=list)
-    unread: list[tuple[Command, Reply]] = dataclasses.field(
+    delayed_replies: list[tuple[Command, Reply]] = dataclasses.field(
         default_factory=list,
     )
     pushed: list[SourceMessage] = dataclasses.field(default_factory=list)
-    paused: list[_Act] = dataclasses.field(default_factory=list)
+    paused_actions: list[_PausedAction] = dataclasses.field(
+        default_factory=list
+    )
 
 
 class StateModel(RuleBasedStateMachine):
@@ -70,7 +72,7 @@
     machine_type: type[Machine] = Machine
     follower_type: type[Follower] = Follower
     fence_type: type[Fence] = Fence
-    has_late_count = False
+    counts_lease_from_reply = False
 
     @initialize()
     def begin(self) -> None:
@@ -78,7 +80,7 @@
         self.net = _Network()
         self.leader = self.machine_type()
         self.lagging = Machine()
-        self.feed = Feed()
+        self.feed = TextFeed()
         self.follower = self.follower_type()
         self.fence = self.fence_type()
         self.now_s = 100.0
@@ -140,7 +142,7 @@
     def renew(self, number: int, is_late: bool) -> None:
         """A pool renews its lease."""
         if self.holdings:
-            (vm, _), holding = self._pick_holding(number)
+            (vm, _), holding = self._choose_holding(number)
             self._send(RenewVm(vm, holding.token, _LEASE_S), is_late)
 
     @rule(vm=_vms, pool=_pools)
@@ -159,24 +161,28 @@
     @rule(number=_any)
     def learn(self, number: int) -> None:
         """A delayed reply arrives."""
-        if self.net.unread:
-            self._learn(*self.net.unread.pop(number % len(self.net.unread)))
+        if self.net.delayed_replies:
+            self._learn(
+                *self.net.delayed_replies.pop(
+                    number % len(self.net.delayed_replies)
+                )
+            )
 
     @rule(number=_any)
     def check_then_pause(self, number: int) -> None:
         """A process checks its lease and is paused before it acts."""
         if not self.holdings:
             return
-        (vm, _), holding = self._pick_holding(number)
+        (vm, _), holding = self._choose_holding(number)
         if holding.may_act(self.now_s):
-            self.net.paused.append(_Act(vm, holding.token))
+            self.net.paused_actions.append(_PausedAction(vm, holding.token))
 
     @rule(number=_any)
     def act_late(self, number: int) -> None:
         """A paused process resumes and acts."""
-        if not self.net.paused:
+        if not self.net.paused_actions:
             return
-        act = self.net.paused.pop(number % len(self.net.paused))
+        act = self.net.paused_actions.pop(number % len(self.net.paused_actions))
         if self.fence.admit(act.vm, act.token):
             assert act.token >= self.admitted.get(act.vm, 0), 'older owner acts'
 
@@ -196,7 +202,7 @@
             self.lagging.apply(self.lagging_applied, command)
         held = self.follower.held
         newest = self.feed.newest(self.lagging.state)
-        step = self.feed.step(
+        step = self.feed.delta_from(
             self.lagging.state,
             held.version,
             held.checksum,
@@ -224,7 +230,7 @@
         for effect in self.follower.on_message(message, self.now_s):
             need = getattr(effect, 'need', None)
             if need is not None:
-                sections = self.feed.missing(self.lagging.state, need)
+                sections = self.feed.missing_sections(self.lagging.state, need)
                 self.net.pushed.append(sections)
         assert self.follower.held.version >= before, 'a version reverted'
 
@@ -264,7 +270,7 @@
         for _ in range(3):
             self.follow(len(self.net.pushed) - 1)
 
-    def _pick_holding(self, number: int) -> tuple[tuple[str, str], Holding]:
+    def _choose_holding(self, number: int) -> tuple[tuple[str, str], Holding]:
         return list(self.holdings.items())[number % len(self.holdings)]
 
     def _send(self, action: Action, is_late: bool = False) -> None:
@@ -295,12 +301,12 @@
         if reply.code:
             return
         if is_late:
-            self.net.unread.append((command, reply))
+            self.net.delayed_replies.append((command, reply))
         else:
             self._learn(command, reply)
 
     def _learn(self, command: Command, reply: Reply) -> None:
-        asked_s = self.now_s if self.has_late_count else command.at_s
+        asked_s = self.now_s if self.counts_lease_from_reply else command.at_s
         match command.action:
             case GrantVm(vm=vm, pool=pool) if reply.token not in self.learned:
                 self.learned.add(reply.token)
--- a/tests/state/test_machine_model.py
+++ b/tests/state/test_machine_model.py
@@ -31,7 +31,7 @@
     print_blob=False,
 )
 # A run with an injected bug ends as soon as the bug is found.
-_PATIENT = settings(_SETTINGS, max_examples=2000)
+_SETTINGS_UNTIL_FOUND = settings(_SETTINGS, max_examples=2000)
 
 
 class _ForgetsResults(Machine):
@@ -109,7 +109,7 @@
         error = self.assertRaises(
             AssertionError,
             self.run_model,
-            _PATIENT,
+            _SETTINGS_UNTIL_FOUND,
             **planted,
         )
         self.assertThat(str(error), Contains(message))
@@ -140,7 +140,7 @@
 
     def test_lease_counted_late(self) -> None:
         """A holder that measures its lease from the reply is found."""
-        self.check_finds('belongs to', has_late_count=True)
+        self.check_finds('belongs to', counts_lease_from_reply=True)
 
     def test_grant_too_early(self) -> None:
         """A grant before the release is confirmed or has expired is found."""
