--- a/src/wigeonreach/agreement/_raft_election.py
+++ b/src/wigeonreach/agreement/_raft_election.py
@@ -123,9 +123,9 @@
     state.change_role(RoleEvent.PRE_VOTE_WON)
     state.write_hard_state(state.hard_state.term + 1, state.me)
     state.verified_index = 0
-    # The pre-vote showed that no voter has a leader, so after a split vote the
-    # next election need not wait for one.  With the full timeout, an election
-    # next to a replica with a full disk took a second longer.
+    # The pre-vote showed that a majority has no leader, so after a split vote
+    # the next election need not wait for one.  With the full timeout, an
+    # election next to a replica with a full disk took a second longer.
     state.set_short_election_timer()
     state.votes = set()
     _request_votes(state, is_trial=False)
--- a/src/wigeonreach/state/_subscription.py
+++ b/src/wigeonreach/state/_subscription.py
@@ -97,14 +97,14 @@
 
     def _post_newest(self) -> None:
         newest = self._source.newest()
-        step = self._source.delta_from(self._sent_version, self._sent_checksum)
+        delta = self._source.delta_from(self._sent_version, self._sent_checksum)
         self._sent_version = newest.version
         self._sent_checksum = newest.checksum
-        if step is None:
+        if delta is None:
             # The follower then asks for the sections that it lacks.
             self._post_heartbeat()
         else:
-            self._channel.post(step)
+            self._channel.post(delta)
 
     def _post_heartbeat(self) -> None:
         newest = self._source.newest()
--- a/tests/rollout/test_follower.py
+++ b/tests/rollout/test_follower.py
@@ -58,11 +58,11 @@
         old = make_copy(1, self.texts[0])
         self.follower.held = old
 
-        step = self.feed.delta_from(self.machine.state, 1, old.checksum)
-        assert step is not None
-        effects = self.follower.on_message(step, 0)
+        delta = self.feed.delta_from(self.machine.state, 1, old.checksum)
+        assert delta is not None
+        effects = self.follower.on_message(delta, 0)
 
-        self.assertThat(step.edits, HasLength(1))
+        self.assertThat(delta.edits, HasLength(1))
         self.assertThat(effects, Equals((Hold(self.newest),)))
 
     def test_other_text(self) -> None:
--- a/tests/state/model.py
+++ b/tests/state/model.py
@@ -182,9 +182,13 @@
         """A paused process resumes and acts."""
         if not self.net.paused_actions:
             return
-        act = self.net.paused_actions.pop(number % len(self.net.paused_actions))
-        if self.fence.admit(act.vm, act.token):
-            assert act.token >= self.admitted.get(act.vm, 0), 'older owner acts'
+        action = self.net.paused_actions.pop(
+            number % len(self.net.paused_actions)
+        )
+        if self.fence.admit(action.vm, action.token):
+            assert action.token >= self.admitted.get(action.vm, 0), (
+                'older owner acts'
+            )
 
     @rule()
     def restart_leader(self) -> None:
@@ -202,13 +206,13 @@
             self.lagging.apply(self.lagging_applied, command)
         held = self.follower.held
         newest = self.feed.newest(self.lagging.state)
-        step = self.feed.delta_from(
+        delta = self.feed.delta_from(
             self.lagging.state,
             held.version,
             held.checksum,
         )
-        if step is not None:
-            self.net.pushed.append(step)
+        if delta is not None:
+            self.net.pushed.append(delta)
         if self.lagging_applied == len(self.net.log):
             self.confirmed_s = self.now_s
         self.net.pushed.append(
