--- a/src/wigeonreach/rollout/_copy.py
+++ b/src/wigeonreach/rollout/_copy.py
@@ -1,4 +1,4 @@
-"""Bring one copy of the text up to another with as few bytes as is simple."""
+"""Update a copy of the configuration text from deltas or changed sections."""
 
 from __future__ import annotations
 
@@ -19,24 +19,24 @@
 )
 
 _COMPRESSION_LEVEL = 6
-_TEXTS = msgspec.msgpack.Decoder(tuple[str, ...])
+_TEXTS_DECODER = msgspec.msgpack.Decoder(tuple[str, ...])
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TextCopy:
-    """A version of the accepted text; version 0 is the empty one."""
+    """A version of the configuration text; version 0 is the empty text."""
 
     version: int
     text: str
     checksum: int
 
     def digests(self) -> tuple[int, ...]:
-        """Return the digest of each section, in order."""
+        """Return the checksum of each section, in order."""
         return tuple(map(checksum_of, split_sections(self.text)))
 
 
 def make_copy(version: int, text: str) -> TextCopy:
-    """Return a copy with its checksum."""
+    """Return a copy of a version, with the checksum of its text."""
     return TextCopy(version, text, checksum_of(text))
 
 
@@ -44,45 +44,50 @@
 
 
 def follow_delta(held: TextCopy, delta: ConfigDelta) -> TextCopy:
-    """Return the newer copy that a delta makes of the one held.
+    """Apply a delta to a copy.
 
     Parameters
     ----------
     held
-        The copy that the delta starts from.
+        The copy to update.
     delta
-        The step.
+        The line edits from its version to a newer one.
 
     Returns
     -------
     TextCopy
-        The newer copy.
+        The copy of the newer version.
 
     Raises
     ------
     WireError
-        If the delta starts from another version or gives a wrong checksum.
+        If the delta is based on another version, or the result does not
+        match its checksum.
     """
     if delta.base_version != held.version:
-        raise _unusable(f'delta from {delta.base_version}, {held.version} held')
+        raise _malformed(
+            f'delta is based on version {delta.base_version}, '
+            f'but version {held.version} is held',
+        )
     lines = apply_edits(split_lines(held.text), delta.edits)
-    return _checked(delta.version, ''.join(lines), delta.checksum)
+    return _verified_copy(delta.version, ''.join(lines), delta.checksum)
 
 
 def missing_sections(newest: TextCopy, need: ConfigNeed) -> ConfigSections:
-    """Return the sections that an asker lacks.
+    """Return the sections that a requester lacks.
 
     Parameters
     ----------
     newest
-        The copy to bring the asker to.
+        The copy that the requester is updated to.
     need
-        What the asker holds.
+        The checksums of the sections that the requester holds.
 
     Returns
     -------
     ConfigSections
-        The whole text if the asker holds nothing.
+        The missing sections, compressed, and the order of all sections; the
+        whole text if the requester holds nothing.
     """
     if not need.digests:
         return ConfigSections(
@@ -108,33 +113,35 @@
 
 
 def merge_sections(held: TextCopy, message: ConfigSections) -> TextCopy:
-    """Return the copy that received sections and those held make together.
+    """Combine received sections with those of the copy held.
 
     Parameters
     ----------
     held
-        The copy held.
+        The copy to update.
     message
-        What was received.
+        The sections received, and the order of all sections.
 
     Returns
     -------
     TextCopy
-        The newer copy.
+        The copy of the version received.
 
     Raises
     ------
     WireError
-        If a section is missing or the checksum is wrong.
+        If a section is missing or the checksum does not match.
     """
     received = _unpack(message.packed)
     text = join_sections(received)
     if message.order:
-        text = join_sections(tuple(_ordered(held, received, message.order)))
-    return _checked(message.version, text, message.checksum)
+        text = join_sections(
+            tuple(_sections_in_order(held, received, message.order))
+        )
+    return _verified_copy(message.version, text, message.checksum)
 
 
-def _ordered(
+def _sections_in_order(
     held: TextCopy,
     received: tuple[str, ...],
     order: tuple[int, ...],
@@ -144,14 +151,14 @@
     for digest in order:
         section = by_digest.get(digest)
         if section is None:
-            raise _unusable('a section is missing')
+            raise _malformed('a section is missing')
         yield section
 
 
-def _checked(version: int, text: str, checksum: int) -> TextCopy:
+def _verified_copy(version: int, text: str, checksum: int) -> TextCopy:
     copy = make_copy(version, text)
     if copy.checksum != checksum:
-        raise _unusable(f'version {version} has another checksum')
+        raise _malformed(f'checksum mismatch in version {version}')
     return copy
 
 
@@ -161,10 +168,10 @@
 
 def _unpack(packed: bytes) -> tuple[str, ...]:
     try:
-        return _TEXTS.decode(zlib.decompress(packed))
+        return _TEXTS_DECODER.decode(zlib.decompress(packed))
     except (zlib.error, msgspec.MsgspecError) as error:
-        raise _unusable(str(error)) from error
+        raise _malformed(str(error)) from error
 
 
-def _unusable(detail: str) -> WireError:
+def _malformed(detail: str) -> WireError:
     return WireError(ResultCode.WIRE_MALFORMED, detail)
--- a/src/wigeonreach/state/_client.py
+++ b/src/wigeonreach/state/_client.py
@@ -1,4 +1,4 @@
-"""Submit commands and ask questions, whichever replica is alive."""
+"""Client of the replicated state: submits commands and reads records."""
 
 from __future__ import annotations
 
@@ -26,23 +26,24 @@
 
 _REPLY_TIMEOUT_S = 3.0
 _RETRY_S = 0.1
-_GIVE_UP_S = 8.0
-# Well before the table of results has moved on by itself.
-_REVISION_FRESH_S = 30.0
+_DEFAULT_GIVE_UP_S = 8.0
+# Far below the time in which other commands displace a revision from the
+# table of known results (see ``Limits.result_age``).
+_REVISION_MAX_AGE_S = 30.0
 _Answer = TypeVar('_Answer', bound=WireMessage)
 _Envelope = TypeVar('_Envelope', Submitted, Answered)
 _REPLY_DECODER = msgspec.msgpack.Decoder(Reply)
 
 
 class StateAccess(Protocol):
-    """What managers and operators need of the durable state."""
+    """Access to the replicated state, for managers and operators."""
 
     async def submit(
         self,
         action: Action,
         command_id: str | None = None,
     ) -> Reply:
-        """Have an action done once; refusals are in the reply's code."""
+        """Execute an action once; the reply's code tells if it was refused."""
 
     async def read(
         self,
@@ -51,22 +52,22 @@
         *,
         is_local: bool = False,
     ) -> _Answer:
-        """Ask a question, and a quorum first unless ``is_local``."""
+        """Read records; unless ``is_local``, confirmed with a quorum first."""
 
 
 class StateClient:
-    """Talk to the replicas; a command is resent until its reply is known.
+    """Client of the replicas; resends a command until its reply is known.
 
     Parameters
     ----------
     author
         Name under which commands are recorded.
     replicas
-        Whom to ask, in this order.
+        Replicas to contact, tried in this order.
     now_s
-        Unix time in seconds, for what commands carry.
+        Clock that stamps commands, Unix time in seconds.
     give_up_s
-        How long to try in all, in seconds.
+        Total time in seconds after which a request fails.
     """
 
     def __init__(
@@ -74,9 +75,9 @@
         author: str,
         replicas: Sequence[Member],
         now_s: Callable[[], float] = time.time,
-        give_up_s: float = _GIVE_UP_S,
+        give_up_s: float = _DEFAULT_GIVE_UP_S,
     ) -> None:
-        """Connect to nothing yet."""
+        """Create a client; connections are opened for each request."""
         self._author = author
         self._replicas = tuple(replicas)
         self._now_s = now_s
@@ -89,24 +90,26 @@
         action: Action,
         command_id: str | None = None,
     ) -> Reply:
-        """Have an action done once.
+        """Execute an action once.
 
         Parameters
         ----------
         action
-            What to do.
+            The action.
         command_id
-            Id of the command; give the same to resend it by hand.
+            Id of the command; pass the id of an earlier command to resend
+            it.  A new id is generated if it is left out.
 
         Returns
         -------
         Reply
-            What became of it; refusals are in its code.
+            The outcome; its code tells whether the action was refused.
 
         Raises
         ------
         StateError
-            If no replica told in time; it may or may not have been done.
+            If no replica replied in time; the action may or may not have
+            been executed.
         """
         await self._refresh_revision()
         command = Command(
@@ -119,15 +122,16 @@
         return await self.send(command)
 
     async def send(self, command: Command) -> Reply:
-        """Send a command as it is, again and again until its reply comes.
+        """Send an unchanged command repeatedly until its reply arrives.
 
         Raises
         ------
         StateError
-            If no replica told in time; it may or may not have been done.
+            If no replica replied in time; the command may or may not have
+            been executed.
         """
         submit = Submit(msgspec.msgpack.encode(command))
-        submitted = await self._until_done(submit, Submitted)
+        submitted = await self._request_until_answered(submit, Submitted)
         reply = _REPLY_DECODER.decode(submitted.reply)
         self._note_revision(reply.revision)
         return reply
@@ -139,16 +143,17 @@
         *,
         is_local: bool = False,
     ) -> _Answer:
-        """Ask a question.
+        """Read records.
 
         Parameters
         ----------
         question
-            What to ask.
+            The records to read.
         answer_type
             Type of the answer.
         is_local
-            Whether a replica may answer without asking a quorum.
+            Whether a replica may answer without confirming with a quorum
+            that its state is current.
 
         Returns
         -------
@@ -160,7 +165,9 @@
         StateError
             If no replica answered in time.
         """
-        answered = await self._until_done(Ask(question, is_local), Answered)
+        answered = await self._request_until_answered(
+            Ask(question, is_local), Answered
+        )
         self._note_revision(answered.revision)
         if isinstance(answered.answer, answer_type):
             return answered.answer
@@ -168,34 +175,34 @@
 
     async def _refresh_revision(self) -> None:
         age_s = self._now_s() - self._revision_read_s
-        if age_s > _REVISION_FRESH_S:
-            # The cheapest question; only the revision of its answer counts.
+        if age_s > _REVISION_MAX_AGE_S:
+            # The cheapest question; only the revision in its answer is used.
             question = Ask(ReadLease(''))
-            answered = await self._until_done(question, Answered)
+            answered = await self._request_until_answered(question, Answered)
             self._note_revision(answered.revision)
 
     def _note_revision(self, revision: int) -> None:
         self._revision = max(self._revision, revision)
         self._revision_read_s = self._now_s()
 
-    async def _until_done(
+    async def _request_until_answered(
         self,
         message: WireMessage,
         reply_type: type[_Envelope],
     ) -> _Envelope:
-        ends_s = time.monotonic() + self._give_up_s
+        deadline_s = time.monotonic() + self._give_up_s
         reason = 'no replica is known'
-        while time.monotonic() < ends_s:
+        while time.monotonic() < deadline_s:
             for replica in self._replicas:
                 try:
-                    return await _ask_one(replica, message, reply_type)
+                    return await _request_once(replica, message, reply_type)
                 except (StateError, WireError) as error:
                     reason = f'{replica.name}: {error.detail}'
             await asyncio.sleep(_RETRY_S)
         raise StateError(ResultCode.STATE_NO_QUORUM, reason)
 
 
-async def _ask_one(
+async def _request_once(
     replica: Member,
     message: WireMessage,
     reply_type: type[_Envelope],
--- a/src/wigeonreach/state/_machine_processes.py
+++ b/src/wigeonreach/state/_machine_processes.py
@@ -1,8 +1,8 @@
-"""Remember which processes follow the accepted text."""
+"""Register the processes that follow the configuration text."""
 
 from __future__ import annotations
 
-from wigeonreach.state._machine_dispatch import Context, answer, perform
+from wigeonreach.state._machine_dispatch import Context, answer, execute
 from wigeonreach.state._machine_state import MachineState
 from wigeonreach.wire._command_messages import (
     ForgetProcess,
@@ -18,9 +18,9 @@
 _FORGET_AFTER_S = 86_400.0
 
 
-@perform.register
+@execute.register
 def register_process(action: RegisterProcess, context: Context) -> Reply:
-    """Remember a process; one not heard of for a day is dropped."""
+    """Register a process, and drop those not registered again for a day."""
     state = context.state
     state.processes[action.process] = ProcessRecord(
         action.process,
@@ -33,14 +33,14 @@
         for name, record in state.processes.items()
         if record.registered_s >= oldest_s
     }
-    return context.done()
+    return context.succeeded()
 
 
-@perform.register
+@execute.register
 def forget_process(action: ForgetProcess, context: Context) -> Reply:
-    """Drop a process that is gone for good."""
+    """Remove a process that ended for good."""
     context.state.processes.pop(action.process, None)
-    return context.done()
+    return context.succeeded()
 
 
 @answer.register
@@ -48,7 +48,7 @@
     _question: ReadProcesses,
     state: MachineState,
 ) -> Processes:
-    """Return the processes by name."""
+    """Return all registered processes, sorted by name."""
     return Processes(
         tuple(record for _, record in sorted(state.processes.items())),
     )
--- a/src/wigeonreach/state/_replica.py
+++ b/src/wigeonreach/state/_replica.py
@@ -1,4 +1,4 @@
-"""Serve one replica of the durable state."""
+"""Run one replica of the replicated state."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 )
 from wigeonreach.codes import ExitCode
 from wigeonreach.observe import LogEvent, Logger
-from wigeonreach.state._front import Front
 from wigeonreach.state._machine import Machine
+from wigeonreach.state._request_handler import RequestHandler
 from wigeonreach.wire import Channel, serve
 from wigeonreach.wire._raft_messages import (
     LinkEcho,
@@ -27,18 +27,18 @@
 
 
 class Replica(mode.Service):
-    """Agree with the other replicas, and let the front serve everybody else.
+    """One replica: takes part in the consensus and serves clients.
 
     Parameters
     ----------
     settings
-        Who this replica is.
+        Name, addresses and data folder of this replica.
     logger
         Where events are logged.
     """
 
     def __init__(self, settings: ReplicaSettings, logger: Logger) -> None:
-        """Open the data folder; nothing is served before ``start``."""
+        """Open the data folder; nothing is served until it is started."""
         super().__init__()
         self._settings = settings
         self._log = logger
@@ -52,20 +52,22 @@
             machine,
             storage,
             stored,
-            self._leave,
+            self._exit_on_failure,
             logger,
         )
-        self._front = Front(settings, self._agreement, machine, logger)
+        self._request_handler = RequestHandler(
+            settings, self._agreement, machine, logger
+        )
         self._server: asyncio.Server | None = None
 
     async def on_start(self) -> None:
-        """Listen and take part in the agreement."""
+        """Join the other replicas and start to listen."""
         await self.add_runtime_dependency(self._agreement)
-        await self.add_runtime_dependency(self._front)
+        await self.add_runtime_dependency(self._request_handler)
         self._server = await serve(self._settings.listen, self._on_channel)
 
     async def drain(self) -> None:
-        """Do nothing: each acknowledged change is synced already."""
+        """Do nothing, since each acknowledged change is already synced."""
 
     async def on_stop(self) -> None:
         """Stop listening."""
@@ -73,7 +75,7 @@
             self._server.close()
 
     async def on_shutdown(self) -> None:
-        """Give the data folder up, once nothing writes to it any more."""
+        """Close the data folder, after the last write to it has finished."""
         self._disk.close()
 
     async def _on_channel(self, channel: Channel) -> None:
@@ -84,9 +86,10 @@
             elif isinstance(message, LinkProbe):
                 channel.post(LinkEcho())
             else:
-                await self._front.handle(channel, message)
+                await self._request_handler.handle(channel, message)
 
-    def _leave(self, error: Exception) -> None:
-        # After a failed sync nothing in memory may be told to anybody.
+    def _exit_on_failure(self, error: Exception) -> None:
+        # After a failed sync the state in memory may not be on disk, so the
+        # process ends at once, without answering pending requests.
         self._log.warning(LogEvent.REPLICA_FAILED, reason=repr(error))
         os._exit(ExitCode.FAILED)  # noqa: SLF001, WPS437
--- a/src/wigeonreach/state/_subscription.py
+++ b/src/wigeonreach/state/_subscription.py
@@ -1,4 +1,4 @@
-"""Push versions to one follower over its channel."""
+"""Push new versions to one follower over its connection."""
 
 from __future__ import annotations
 
@@ -19,42 +19,42 @@
     Unfollow,
 )
 
-# How soon the end of a channel is noticed.
-_LOOK_S = 1.0
-_NEVER_S = -1.0
+# Upper limit of the time until the end of a connection is noticed.
+_POLL_INTERVAL_S = 1.0
+_NO_ECHO_S = -1.0
 
 
 class TextSource(Protocol):
-    """What a subscription needs of its replica."""
+    """Access of a subscription to the versions of its replica."""
 
     def newest(self) -> TextCopy:
-        """Return the newest copy."""
+        """Return the newest version."""
 
-    def step(self, version: int, checksum: int) -> ConfigDelta | None:
-        """Return the step from a version to the newest."""
+    def delta_from(self, version: int, checksum: int) -> ConfigDelta | None:
+        """Return the delta from a version to the newest, if there is one."""
 
-    def missing(self, need: ConfigNeed) -> ConfigSections:
+    def missing_sections(self, need: ConfigNeed) -> ConfigSections:
         """Return the sections that a follower lacks."""
 
     def confirmed_age_s(self) -> float:
-        """Return how long ago a quorum confirmed the newest copy."""
+        """Return seconds since a quorum confirmed the newest version."""
 
     async def wait_newer(self, version: int, timeout_s: float) -> None:
-        """Wait for a newer version, but no longer than the timeout."""
+        """Wait for a newer version, at most ``timeout_s`` seconds."""
 
-    def forget(self, process: str) -> None:
-        """Note that a process ended for good."""
+    def forget_process(self, process: str) -> None:
+        """Remove a process that ended for good from the registered ones."""
 
 
 class Subscription:
-    """One follower: what it was sent and what it acts on.
+    """Subscription of one follower: versions sent to it and in force there.
 
     Parameters
     ----------
     channel
-        The connection to it.
+        Connection to the follower.
     follow
-        What it holds to begin with.
+        The request to follow, with the version that the follower holds.
     source
         Where versions come from.
     """
@@ -65,12 +65,12 @@
         follow: Follow,
         source: TextSource,
     ) -> None:
-        """Send nothing yet."""
+        """Create a subscription; nothing is sent before ``run``."""
         self._channel = channel
         self._source = source
         self._sent_version = follow.version
         self._sent_checksum = follow.checksum
-        self._echo_s = _NEVER_S
+        self._echo_s = _NO_ECHO_S
         self.status = FollowerStatus(
             follow.process,
             follow.zone,
@@ -78,35 +78,35 @@
         )
 
     async def run(self) -> None:
-        """Push until the channel ends."""
-        reading = asyncio.ensure_future(self._read())
+        """Push new versions until the connection ends."""
+        reader = asyncio.ensure_future(self._read())
         try:
-            await self._push(reading)
+            await self._push(reader)
         except OSError:
             return
         finally:
-            reading.cancel()
+            reader.cancel()
 
-    async def _push(self, reading: asyncio.Future[None]) -> None:
-        while not reading.done():
+    async def _push(self, reader: asyncio.Future[None]) -> None:
+        while not reader.done():
             is_behind = self._sent_version < self._source.newest().version
             if is_behind:
                 self._post_newest()
             await self._channel.drain()
-            await self._source.wait_newer(self._sent_version, _LOOK_S)
+            await self._source.wait_newer(self._sent_version, _POLL_INTERVAL_S)
 
     def _post_newest(self) -> None:
         newest = self._source.newest()
-        step = self._source.step(self._sent_version, self._sent_checksum)
+        delta = self._source.delta_from(self._sent_version, self._sent_checksum)
         self._sent_version = newest.version
         self._sent_checksum = newest.checksum
-        if step is None:
-            # The follower answers this with what it holds.
-            self._post_beat()
+        if delta is None:
+            # The follower then asks for the sections that it lacks.
+            self._post_heartbeat()
         else:
-            self._channel.post(step)
+            self._channel.post(delta)
 
-    def _post_beat(self) -> None:
+    def _post_heartbeat(self) -> None:
         newest = self._source.newest()
         self._channel.post(
             ConfigBeat(
@@ -125,11 +125,11 @@
                 return
             match message:
                 case ConfigNeed():
-                    self._channel.post(self._source.missing(message))
+                    self._channel.post(self._source.missing_sections(message))
                 case ConfigInForce():
                     self._note_in_force(message)
                 case Unfollow():
-                    self._source.forget(message.process)
+                    self._source.forget_process(message.process)
 
     def _note_in_force(self, message: ConfigInForce) -> None:
         self.status = FollowerStatus(
@@ -138,4 +138,4 @@
             message.version,
         )
         self._echo_s = message.sent_s
-        self._post_beat()
+        self._post_heartbeat()
--- a/tests/state/model.py
+++ b/tests/state/model.py
@@ -1,4 +1,4 @@
-"""Drive the state machine as a faulty network and paused processes would."""
+"""Model of the replicated state under a faulty network and paused processes."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 from wigeonreach.rollout._copy import make_copy
 from wigeonreach.rollout._follower import Follower, SourceMessage
-from wigeonreach.state._feed import Feed
+from wigeonreach.state._feed import TextFeed
 from wigeonreach.state._holding import Fence, Holding
 from wigeonreach.state._machine import Machine
 from wigeonreach.wire._command_messages import (
@@ -40,8 +40,8 @@
 
 
 @dataclasses.dataclass
-class _Act:
-    """An act on a VM whose process was paused after its check."""
+class _PausedAction:
+    """An action on a VM by a process that was paused after its lease check."""
 
     vm: str
     token: int
@@ -49,28 +49,30 @@
 
 @dataclasses.dataclass
 class _Network:
-    """What was sent, agreed on, pushed, and what is late or paused."""
+    """Commands sent, the log, delayed replies, messages and paused actions."""
 
     log: list[bytes] = dataclasses.field(default_factory=list)
     sent: list[Command] = dataclasses.field(default_factory=list)
-    unread: list[tuple[Command, Reply]] = dataclasses.field(
+    delayed_replies: list[tuple[Command, Reply]] = dataclasses.field(
         default_factory=list,
     )
     pushed: list[SourceMessage] = dataclasses.field(default_factory=list)
-    paused: list[_Act] = dataclasses.field(default_factory=list)
+    paused_actions: list[_PausedAction] = dataclasses.field(
+        default_factory=list
+    )
 
 
 class StateModel(RuleBasedStateMachine):
-    """Two pools and two operators share one log, a follower reads it.
+    """Two pools and an operator share one log, and a follower reads it.
 
-    Commands are delivered late, twice and out of order; the follower reads a
-    replica that lags.  Subclasses plant one bug each.
+    Commands are delivered late, twice and out of order; the follower reads
+    from a replica that lags.  Subclasses inject one bug each.
     """
 
     machine_type: type[Machine] = Machine
     follower_type: type[Follower] = Follower
     fence_type: type[Fence] = Fence
-    has_late_count = False
+    counts_lease_from_reply = False
 
     @initialize()
     def begin(self) -> None:
@@ -78,7 +80,7 @@
         self.net = _Network()
         self.leader = self.machine_type()
         self.lagging = Machine()
-        self.feed = Feed()
+        self.feed = TextFeed()
         self.follower = self.follower_type()
         self.fence = self.fence_type()
         self.now_s = 100.0
@@ -99,14 +101,14 @@
 
     @rule(base_back=st.integers(0, 1), word=st.sampled_from('abc'))
     def change(self, base_back: int, word: str) -> None:
-        """An operator sends a change, now and then from an old base."""
+        """An operator sends a change, sometimes based on an old version."""
         version = self.leader.state.accepted.version
         base = max(0, version - base_back)
         self._send(ChangeText(base, f'[{word}]\nx = {len(self.net.sent)}\n'))
 
     @rule(vm=_vms, pool=_pools, is_late=st.booleans())
     def grant(self, vm: str, pool: str, is_late: bool) -> None:
-        """A manager asks for a VM."""
+        """A manager requests a VM for a pool."""
         self._send(GrantVm(vm, pool, _LEASE_S), is_late)
 
     @rule(
@@ -122,7 +124,7 @@
         confirms: bool,
         is_late: bool,
     ) -> None:
-        """A manager moves a VM, in a hurry or after its pool confirmed."""
+        """A manager moves a VM, with or without its pool's confirmation."""
         self.release(vm)
         if confirms:
             for owner in _POOLS:
@@ -131,54 +133,62 @@
 
     @rule(vm=_vms)
     def release(self, vm: str) -> None:
-        """A manager asks a VM back."""
+        """A manager starts the release of a VM."""
         record = self.leader.state.vms.get(vm)
         if record is not None:
             self._send(ReleaseVm(vm, record.token))
 
     @rule(number=_any, is_late=st.booleans())
     def renew(self, number: int, is_late: bool) -> None:
-        """A pool prolongs its lease."""
+        """A pool renews its lease."""
         if self.holdings:
-            (vm, _), holding = self._pick_holding(number)
+            (vm, _), holding = self._choose_holding(number)
             self._send(RenewVm(vm, holding.token, _LEASE_S), is_late)
 
     @rule(vm=_vms, pool=_pools)
     def confirm(self, vm: str, pool: str) -> None:
-        """A pool stops using a VM and then says so."""
+        """A pool stops using a VM and then confirms the release."""
         holding = self.holdings.pop((vm, pool), None)
         if holding is not None:
             self._send(ConfirmRelease(vm, holding.token))
 
     @rule(number=_any)
     def resend(self, number: int) -> None:
-        """The network delivers an earlier command once more."""
+        """The network delivers an earlier command again."""
         if self.net.sent:
             self._deliver(self.net.sent[number % len(self.net.sent)])
 
     @rule(number=_any)
     def learn(self, number: int) -> None:
-        """A reply arrives late."""
-        if self.net.unread:
-            self._learn(*self.net.unread.pop(number % len(self.net.unread)))
+        """A delayed reply arrives."""
+        if self.net.delayed_replies:
+            self._learn(
+                *self.net.delayed_replies.pop(
+                    number % len(self.net.delayed_replies)
+                )
+            )
 
     @rule(number=_any)
     def check_then_pause(self, number: int) -> None:
-        """A process checks its lease, then is paused before its act."""
+        """A process checks its lease and is paused before it acts."""
         if not self.holdings:
             return
-        (vm, _), holding = self._pick_holding(number)
+        (vm, _), holding = self._choose_holding(number)
         if holding.may_act(self.now_s):
-            self.net.paused.append(_Act(vm, holding.token))
+            self.net.paused_actions.append(_PausedAction(vm, holding.token))
 
     @rule(number=_any)
     def act_late(self, number: int) -> None:
-        """A paused process goes on and acts."""
-        if not self.net.paused:
+        """A paused process resumes and acts."""
+        if not self.net.paused_actions:
             return
-        act = self.net.paused.pop(number % len(self.net.paused))
-        if self.fence.admit(act.vm, act.token):
-            assert act.token >= self.admitted.get(act.vm, 0), 'older owner acts'
+        action = self.net.paused_actions.pop(
+            number % len(self.net.paused_actions)
+        )
+        if self.fence.admit(action.vm, action.token):
+            assert action.token >= self.admitted.get(action.vm, 0), (
+                'older owner acts'
+            )
 
     @rule()
     def restart_leader(self) -> None:
@@ -189,20 +199,20 @@
 
     @rule(steps=st.integers(1, 3))
     def replicate(self, steps: int) -> None:
-        """The replica that the follower reads applies some commands."""
+        """The replica that the follower reads from applies some commands."""
         until = self.lagging_applied + steps
         for command in self.net.log[self.lagging_applied : until]:
             self.lagging_applied += 1
             self.lagging.apply(self.lagging_applied, command)
         held = self.follower.held
         newest = self.feed.newest(self.lagging.state)
-        step = self.feed.step(
+        delta = self.feed.delta_from(
             self.lagging.state,
             held.version,
             held.checksum,
         )
-        if step is not None:
-            self.net.pushed.append(step)
+        if delta is not None:
+            self.net.pushed.append(delta)
         if self.lagging_applied == len(self.net.log):
             self.confirmed_s = self.now_s
         self.net.pushed.append(
@@ -216,7 +226,7 @@
 
     @rule(number=_any)
     def follow(self, number: int) -> None:
-        """The follower gets any message that was pushed, also an old one."""
+        """The follower receives any message sent so far, possibly an old one."""
         if not self.net.pushed:
             return
         before = self.follower.held.version
@@ -224,13 +234,13 @@
         for effect in self.follower.on_message(message, self.now_s):
             need = getattr(effect, 'need', None)
             if need is not None:
-                sections = self.feed.missing(self.lagging.state, need)
+                sections = self.feed.missing_sections(self.lagging.state, need)
                 self.net.pushed.append(sections)
         assert self.follower.held.version >= before, 'a version reverted'
 
     @invariant()
     def one_pool(self) -> None:
-        """No two pools may act on a VM at a moment."""
+        """No two pools may act on a VM at the same time."""
         for vm in _VMS:
             acting = [
                 pool
@@ -242,7 +252,7 @@
 
     @invariant()
     def confirmed_is_newest(self) -> None:
-        """Nothing was accepted before the moment that is called confirmed."""
+        """The held version was the newest at the time called confirmed."""
         age_s = self.follower.confirmed_age_s(self.now_s)
         newest = max(
             version
@@ -253,18 +263,18 @@
 
     @invariant()
     def followed_text(self) -> None:
-        """What the follower holds is what was accepted under its version."""
+        """The follower holds the text that was accepted as its version."""
         held = self.follower.held
         assert held == make_copy(held.version, self.texts[held.version])
 
     @rule()
     def catch_up(self) -> None:
-        """The follower gets everything in order."""
+        """The follower receives everything, in order."""
         self.replicate(len(self.net.log))
         for _ in range(3):
             self.follow(len(self.net.pushed) - 1)
 
-    def _pick_holding(self, number: int) -> tuple[tuple[str, str], Holding]:
+    def _choose_holding(self, number: int) -> tuple[tuple[str, str], Holding]:
         return list(self.holdings.items())[number % len(self.holdings)]
 
     def _send(self, action: Action, is_late: bool = False) -> None:
@@ -295,12 +305,12 @@
         if reply.code:
             return
         if is_late:
-            self.net.unread.append((command, reply))
+            self.net.delayed_replies.append((command, reply))
         else:
             self._learn(command, reply)
 
     def _learn(self, command: Command, reply: Reply) -> None:
-        asked_s = self.now_s if self.has_late_count else command.at_s
+        asked_s = self.now_s if self.counts_lease_from_reply else command.at_s
         match command.action:
             case GrantVm(vm=vm, pool=pool) if reply.token not in self.learned:
                 self.learned.add(reply.token)
