--- a/src/wigeonreach/fleet/__init__.py
+++ b/src/wigeonreach/fleet/__init__.py
@@ -1,6 +1,6 @@
-"""Decide what may be moved, drained and rebooted, without any I/O."""
+"""Plan moves, drains and reboots of VMs, without any I/O."""
 
-from wigeonreach.fleet._budget import ALLOWED, Budgets, Refusal, Verdict
+from wigeonreach.fleet._budget import ALLOWED, Budgets, Decision, Refusal
 from wigeonreach.fleet._budget_limits import (
     Shortfall,
     find_shortfalls,
@@ -26,7 +26,7 @@
     Vm,
     VmState,
     pool_needs,
-    widest,
+    widest_domain,
 )
 from wigeonreach.fleet._moves_model import (
     UNDAMPED,
@@ -65,6 +65,7 @@
     'Budgets',
     'BufferSize',
     'BufferWay',
+    'Decision',
     'DrainProgress',
     'EffectKind',
     'FleetShape',
@@ -87,7 +88,6 @@
     'Track',
     'UNDAMPED',
     'UsageReport',
-    'Verdict',
     'Vm',
     'VmBack',
     'VmChanged',
@@ -114,5 +114,5 @@
     'size_buffer',
     'spare_slots',
     'split',
-    'widest',
+    'widest_domain',
 )
--- a/src/wigeonreach/fleet/_budget.py
+++ b/src/wigeonreach/fleet/_budget.py
@@ -1,4 +1,4 @@
-"""Decide whether one more VM may go down now."""
+"""Check whether one more VM may be taken down under availability budgets."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 import enum
 from collections.abc import Iterable, Iterator
 
-from wigeonreach.fleet._budget_services import ServiceClocks
+from wigeonreach.fleet._budget_services import ServiceShortages
 from wigeonreach.fleet._inventory import Inventory
 from wigeonreach.fleet._model import PoolNeed, Vm, pool_needs
 from wigeonreach.text import FailureDomain, FleetText
 
 
 class Refusal(enum.StrEnum):
-    """Why a VM must not go down now."""
+    """Reason why a VM must not be taken down now."""
 
     WATCHED = 'watched'
     MAINTAINED = 'maintained'
@@ -26,17 +26,17 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Verdict:
-    """Whether a VM may go down, with the figures that decided.
+class Decision:
+    """Whether a VM may be taken down, with the figures behind it.
 
     Attributes
     ----------
     refusal
-        None if the VM may go down.
+        Reason for refusing, or None if the VM may be taken down.
     subject
-        Pool, service or zone that refuses.
+        Pool, service, zone or VM whose limit is exceeded.
     have, need
-        What would be left and what must be left: slots, or seconds of the
+        What would remain and what is required: slots, or seconds of the
         budget where the refusal is ``TIME``.
     """
 
@@ -47,244 +47,255 @@
 
     @property
     def is_allowed(self) -> bool:
-        """Whether the VM may go down."""
+        """Whether the VM may be taken down."""
         return self.refusal is None
 
 
-ALLOWED = Verdict()
+ALLOWED = Decision()
 _POOL_REFUSALS = frozenset((Refusal.DEPTH, Refusal.GUARD))
 
 
 class Budgets:
     """The availability budgets of all services over one inventory.
 
-    Counts what is already down for any reason, what own actions hold down,
-    and what would be lost besides with the largest guarded domain.  The
-    depth of a budget covers the moment after such a loss; the spare of all
-    pools covers the time until the domain is back.  VMs that own actions
-    hold down return soon, so the budget's time can cover them instead of
-    more spare.
+    Accounts for VMs that are down for any reason, VMs under maintenance, and
+    the additional loss of the largest guarded failure domain.  The depth of
+    a budget (its missing ratio) covers the moment right after such a loss;
+    the spare capacity of all pools covers the time until the domain is back.
+    VMs under maintenance return soon, so the budget's time (its missing
+    seconds) can cover them instead of more spare capacity.
 
     Parameters
     ----------
     text
-        The checked text in force.
+        The validated configuration text in force.
     inventory
-        The VMs; told which pools are only watched.  Call `observe` after
-        each change of a VM of a pool.
+        The VMs; its watched pools are set from the text.  Call `observe`
+        after each change of a VM of a pool.
     """
 
     def __init__(self, text: FleetText, inventory: Inventory) -> None:
-        """Take the needs of a text."""
+        """Load the requirements of a text."""
         self._inventory = inventory
-        self.clocks = ServiceClocks(text)
-        self._take(text)
+        self.shortages = ServiceShortages(text)
+        self._apply_text(text)
 
     def apply(self, text: FleetText, now_s: float) -> None:
-        """Take a new text; what was spent of budgets stays spent.
+        """Apply a new text; budget time already spent stays spent.
 
         Parameters
         ----------
         text
-            The checked text in force from now on.
+            The validated configuration text in force from now on.
         now_s
-            Time, in seconds.
+            Current time, in seconds.
         """
-        self.clocks = ServiceClocks(text, self.clocks)
-        self._take(text)
+        self.shortages = ServiceShortages(text, self.shortages)
+        self._apply_text(text)
         for pool in self.needs:
             self.observe(pool, now_s)
 
     def observe(self, pool: str, now_s: float) -> None:
-        """Note the capacity of a pool from now on.
+        """Record whether a pool lacks capacity from now on.
 
         Parameters
         ----------
         pool
-            A pool of which a VM changed.
+            Name of a pool of which a VM changed.
         now_s
             Time of the change, in seconds.
         """
         need = self.needs.get(pool)
         if need is not None:
-            self.clocks.observe(
+            self.shortages.observe(
                 need.services,
                 now_s,
-                is_lacking=self._inventory.up_slots(pool) < need.guarded_slots,
+                is_short=self._inventory.up_slots(pool) < need.guarded_slots,
             )
 
-    def judge(
+    def check_drain(
         self,
         vm: Vm,
         now_s: float,
         expected_s: float,
         *,
         may_spend: bool = True,
-    ) -> Verdict:
-        """Decide whether a VM may go down now.
+    ) -> Decision:
+        """Check whether a VM may be taken down now.
 
         Parameters
         ----------
         vm
             The VM as the inventory holds it.
         now_s
-            Time, in seconds.
+            Current time, in seconds.
         expected_s
-            For how long it will be down, in seconds.
+            Expected downtime, in seconds.
         may_spend
-            Whether the promise may be missed for that long, if the budget
-            has the time left.
+            Whether the promised slots may be missed for that long, if the
+            budget has enough time left.
 
         Returns
         -------
-        Verdict
-            The first reason against it, or `ALLOWED`.
+        Decision
+            The first refusal, or `ALLOWED`.
         """
         if self._inventory.is_watched(vm.pool):
-            return Verdict(Refusal.WATCHED, vm.pool)
+            return Decision(Refusal.WATCHED, vm.pool)
         if vm.is_maintained:
-            return Verdict(Refusal.MAINTAINED, vm.name)
+            return Decision(Refusal.MAINTAINED, vm.name)
         if not vm.is_up:
-            # It carries nothing, so taking it down costs nothing.
+            # The VM provides no capacity, so taking it down loses none.
             return ALLOWED
-        reasons = self._reasons(vm, now_s, expected_s, may_spend=may_spend)
-        return next(reasons, ALLOWED)
+        refusals = self._refusals(vm, now_s, expected_s, may_spend=may_spend)
+        return next(refusals, ALLOWED)
 
-    def lacks_spare(self, vm: Vm, now_s: float, expected_s: float) -> bool:
+    def would_spare_help(self, vm: Vm, now_s: float, expected_s: float) -> bool:
         """Return whether a VM lent to its pool would let this one go down.
 
-        It would not help where the fleet as a whole, the time of a budget or
-        a dependency refuses, or where the pool has a VM down already.
+        It does not help if the refusal comes from the fleet as a whole, the
+        time of a budget or a dependency, or if the pool already has a VM
+        under maintenance.
         """
-        if self._inventory.held_slots(vm.pool):
+        if self._inventory.pool_maintained_slots(vm.pool):
             return False
-        reasons = self._reasons(vm, now_s, expected_s, may_spend=True)
-        return all(reason.refusal in _POOL_REFUSALS for reason in reasons)
+        refusals = self._refusals(vm, now_s, expected_s, may_spend=True)
+        return all(reason.refusal in _POOL_REFUSALS for reason in refusals)
 
-    def judge_leaving(self, vm: Vm, *, is_emergency: bool) -> Verdict:
-        """Decide whether a VM may leave its pool for another.
+    def check_move(self, vm: Vm, *, is_emergency: bool) -> Decision:
+        """Check whether a VM may move from its pool to another.
 
-        The fleet loses nothing by it, but the pool must keep its promise.
+        The fleet loses no capacity, but the pool must keep its promise.
 
         Parameters
         ----------
         vm
             The VM as the inventory holds it.
         is_emergency
-            Whether the other pool lacks what must be left after a loss.
-            Then work of this pool that can wait does so, and no second
-            loss is guarded against.
+            Whether the receiving pool is below the slots that must remain
+            after a domain loss.  Deferrable work of this pool then waits,
+            and a second loss is not guarded against.
         """
         if self._inventory.is_watched(vm.pool):
-            return Verdict(Refusal.WATCHED, vm.pool)
+            return Decision(Refusal.WATCHED, vm.pool)
         if not vm.is_up:
-            return Verdict(Refusal.MAINTAINED, vm.name)
+            return Decision(Refusal.MAINTAINED, vm.name)
         need = self.needs.get(vm.pool)
         if need is None:
             return ALLOWED
         kept = need.guarded_slots if is_emergency else need.slots
         left = self._inventory.up_slots(vm.pool) - vm.slots
         if left < kept:
-            return Verdict(Refusal.DEPTH, vm.pool, left, kept)
+            return Decision(Refusal.DEPTH, vm.pool, left, kept)
         if is_emergency:
             return ALLOWED
-        return next(self._pool_reasons(vm, need), ALLOWED)
+        return next(self._pool_refusals(vm, need), ALLOWED)
 
-    def _take(self, text: FleetText) -> None:
+    def _apply_text(self, text: FleetText) -> None:
         self.needs = pool_needs(text)
         self._managed = [
             need for need in self.needs.values() if not need.is_watched
         ]
         self._promised_slots = sum(need.slots for need in self._managed)
-        self._targets = [_target(self._managed, kind) for kind in FailureDomain]
-        self._inventory.watch(
+        self._domain_requirements = [
+            _domain_requirement(self._managed, kind) for kind in FailureDomain
+        ]
+        self._inventory.set_watched_pools(
             [need.pool for need in self.needs.values() if need.is_watched],
         )
 
-    def _reasons(
+    def _refusals(
         self,
         vm: Vm,
         now_s: float,
         expected_s: float,
         *,
         may_spend: bool,
-    ) -> Iterator[Verdict]:
+    ) -> Iterator[Decision]:
         need = self.needs.get(vm.pool)
-        wanted_s = expected_s if may_spend else float('inf')
+        needed_s = expected_s if may_spend else float('inf')
         if need is not None:
-            yield from self._pool_reasons(vm, need)
-            for missing in self.clocks.missing_needs(need.services):
-                yield Verdict(Refusal.DEPENDENCY, missing)
+            yield from self._pool_refusals(vm, need)
+            for missing in self.shortages.short_dependencies(need.services):
+                yield Decision(Refusal.DEPENDENCY, missing)
             if self._inventory.up_slots(vm.pool) - vm.slots < need.slots:
-                yield from self._time_reasons((need,), now_s, wanted_s)
-        for shortfall in self._fleet_reasons(vm):
+                yield from self._time_refusals((need,), now_s, needed_s)
+        for shortfall in self._fleet_shortfalls(vm):
             if shortfall.is_final:
-                yield shortfall.verdict
+                yield shortfall.decision
             else:
-                yield from self._time_reasons(self._managed, now_s, wanted_s)
+                yield from self._time_refusals(self._managed, now_s, needed_s)
 
-    def _pool_reasons(self, vm: Vm, need: PoolNeed) -> Iterator[Verdict]:
+    def _pool_refusals(self, vm: Vm, need: PoolNeed) -> Iterator[Decision]:
         left = self._inventory.up_slots(vm.pool) - vm.slots
-        if left < need.least_slots:
-            yield Verdict(Refusal.DEPTH, vm.pool, left, need.least_slots)
+        if left < need.min_slots:
+            yield Decision(Refusal.DEPTH, vm.pool, left, need.min_slots)
         if need.guard is None:
             return
-        peak = self._inventory.up(vm.pool, need.guard).peak(
+        peak = self._inventory.up_by_domain(vm.pool, need.guard).peak(
             vm.domain(need.guard),
             vm.slots,
         )
-        if left - peak < need.least_slots:
-            yield Verdict(Refusal.GUARD, vm.pool, left - peak, need.least_slots)
+        if left - peak < need.min_slots:
+            yield Decision(Refusal.GUARD, vm.pool, left - peak, need.min_slots)
 
-    def _time_reasons(
+    def _time_refusals(
         self,
         needs: Iterable[PoolNeed],
         now_s: float,
-        wanted_s: float,
-    ) -> Iterator[Verdict]:
+        needed_s: float,
+    ) -> Iterator[Decision]:
         for need in needs:
-            for service in self.clocks.affected(need.services):
-                left_s = self.clocks.left_s(service, now_s)
-                if left_s < wanted_s:
-                    yield Verdict(Refusal.TIME, service, left_s, wanted_s)
-
-    def _fleet_reasons(self, vm: Vm) -> Iterator[_FleetReason]:
-        left = self._inventory.fleet_up(FailureDomain.ZONE).total_slots
+            for service in self.shortages.with_dependents(need.services):
+                left_s = self.shortages.remaining_s(service, now_s)
+                if left_s < needed_s:
+                    yield Decision(Refusal.TIME, service, left_s, needed_s)
+
+    def _fleet_shortfalls(self, vm: Vm) -> Iterator[_FleetShortfall]:
+        left = self._inventory.fleet_up_by_domain(
+            FailureDomain.ZONE
+        ).total_slots
         left -= vm.slots
         if left < self._promised_slots:
-            yield _FleetReason('', left, self._promised_slots, is_final=False)
-        for target in self._targets:
-            yield from self._domain_reasons(vm, target, left)
+            yield _FleetShortfall(
+                '', left, self._promised_slots, is_final=False
+            )
+        for requirement in self._domain_requirements:
+            yield from self._domain_shortfalls(vm, requirement, left)
 
-    def _domain_reasons(
+    def _domain_shortfalls(
         self,
         vm: Vm,
-        target: _Target,
+        requirement: _DomainRequirement,
         left: int,
-    ) -> Iterator[_FleetReason]:
-        if not target.slots:
+    ) -> Iterator[_FleetShortfall]:
+        if not requirement.slots:
             return
-        kind = target.kind
-        present = self._inventory.fleet_present(kind)
-        at_last = present.total_slots - present.peak()
-        if at_last < target.slots:
-            yield _FleetReason(kind, at_last, target.slots, is_final=True)
-        up = self._inventory.fleet_up(kind)
-        at_once = left - up.peak(vm.domain(kind), vm.slots)
-        if at_once < target.least_slots:
-            yield _FleetReason(
+        kind = requirement.kind
+        present = self._inventory.fleet_present_by_domain(kind)
+        after_maintenance = present.total_slots - present.peak()
+        if after_maintenance < requirement.slots:
+            yield _FleetShortfall(
+                kind, after_maintenance, requirement.slots, is_final=True
+            )
+        up = self._inventory.fleet_up_by_domain(kind)
+        remaining = left - up.peak(vm.domain(kind), vm.slots)
+        if remaining < requirement.least_slots:
+            yield _FleetShortfall(
                 kind,
-                at_once,
-                target.least_slots,
+                remaining,
+                requirement.least_slots,
                 is_final=True,
             )
-        if at_once < target.slots:
-            yield _FleetReason(kind, at_once, target.slots, is_final=False)
+        if remaining < requirement.slots:
+            yield _FleetShortfall(
+                kind, remaining, requirement.slots, is_final=False
+            )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Target:
-    """What the fleet must keep with one domain of a kind lost."""
+class _DomainRequirement:
+    """Slots that the fleet must keep when one domain of a kind is lost."""
 
     kind: FailureDomain
     slots: float
@@ -292,8 +303,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _FleetReason:
-    """What speaks against it; unless final, the budget's time can pay."""
+class _FleetShortfall:
+    """Fleet-wide shortfall; unless final, the time budget can cover it."""
 
     lost: str
     have: float
@@ -301,13 +312,15 @@
     is_final: bool
 
     @property
-    def verdict(self) -> Verdict:
-        return Verdict(Refusal.RESTORE, self.lost, self.have, self.need)
+    def decision(self) -> Decision:
+        return Decision(Refusal.RESTORE, self.lost, self.have, self.need)
 
 
-def _target(needs: Iterable[PoolNeed], kind: FailureDomain) -> _Target:
+def _domain_requirement(
+    needs: Iterable[PoolNeed], kind: FailureDomain
+) -> _DomainRequirement:
     guarded = [need for need in needs if need.guards(kind)]
-    # Work that can wait gives way while the domain is lost.
+    # Deferrable work is preempted while the domain is lost.
     slots = sum(need.guarded_slots for need in guarded)
-    least_slots = sum(need.least_slots for need in guarded)
-    return _Target(kind, slots, min(slots, least_slots))
+    least_slots = sum(need.min_slots for need in guarded)
+    return _DomainRequirement(kind, slots, min(slots, least_slots))
--- a/src/wigeonreach/fleet/_budget_limits.py
+++ b/src/wigeonreach/fleet/_budget_limits.py
@@ -1,4 +1,4 @@
-"""Work out how much may be down at once, and what can't be kept at all."""
+"""Compute how many slots may be down and which promises are infeasible."""
 
 from __future__ import annotations
 
@@ -13,17 +13,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Shortfall:
-    """A promise that the VMs can't keep.
+    """A promise compared with the capacity available for it.
 
     Attributes
     ----------
     pool
-        Empty for the fleet as a whole.
+        Name of the pool, or empty for the fleet as a whole.
     lost
-        Failure domain whose loss breaks it; None if it is broken with every
-        VM up.
+        Kind of failure domain assumed to be lost; None if every VM is up.
     have_slots, need_slots
-        What is left and what must be left.
+        Slots that remain and slots that are required.
     """
 
     pool: str
@@ -33,34 +32,34 @@
 
     @property
     def missing_slots(self) -> float:
-        """How many slots are too few."""
+        """Number of missing slots; negative if there are slots to spare."""
         return self.need_slots - self.have_slots
 
 
 def find_shortfalls(text: FleetText, vms: Iterable[Vm]) -> Iterator[Shortfall]:
-    """Yield the promises that could not be kept even with every VM up.
+    """Yield the promises that the fleet can't keep even when fully up.
 
     Parameters
     ----------
     text
-        A checked text.
+        A validated configuration text.
     vms
-        The VMs that it would have.
+        The VMs of the fleet under this text.
     """
     limits = list(_limits(text, vms))
     yield from (limit for limit in limits if limit.missing_slots > 0)
 
 
 def spare_slots(text: FleetText, vms: Iterable[Vm]) -> int:
-    """Return how many slots own actions may hold down at once.
+    """Return how many slots of the fleet may be under maintenance at once.
 
-    This is what is left of the fleet's spare while the largest guarded
-    domain can be lost at any time.  Each pool has limits of its own too.
+    This is the fleet's spare capacity that remains after reserving for the
+    loss of the largest guarded domain.  Each pool has its own limits too.
 
     Parameters
     ----------
     text
-        The checked text in force.
+        The validated configuration text in force.
     vms
         The VMs of the fleet, whatever their state.
     """
@@ -76,25 +75,25 @@
 
 
 def pool_part_slots(need: PoolNeed, inventory: Inventory) -> int:
-    """Return how many slots of a pool own actions may hold down at once.
+    """Return how many slots of a pool may be under maintenance at once.
 
-    This is what zones share as their parts.  VMs that own actions hold down
-    already count as part of it.  Linear in the VMs of the pool.
+    This is the total that zones share as their parts, including VMs that are
+    already under maintenance.  Linear in the number of VMs of the pool.
 
     Parameters
     ----------
     need
-        What the pool must keep.
+        Requirements of the pool.
     inventory
-        The VMs.
+        The VMs of the fleet.
     """
     guard = need.guard or FailureDomain.VM
     present: collections.Counter[str] = collections.Counter()
-    for vm in inventory.members(need.pool):
+    for vm in inventory.vms_in_pool(need.pool):
         if vm.is_up or vm.is_maintained:
             present[vm.domain(guard)] += vm.slots
     largest = max(present.values(), default=0) if need.guard else 0
-    return max(int(present.total() - largest - need.least_slots), 0)
+    return max(int(present.total() - largest - need.min_slots), 0)
 
 
 def _limits(text: FleetText, vms: Iterable[Vm]) -> Iterator[Shortfall]:
@@ -106,12 +105,12 @@
     )
     for need in managed:
         yield from _pool_limits(need, inventory)
-    up = inventory.fleet_up(FailureDomain.ZONE).total_slots
+    up = inventory.fleet_up_by_domain(FailureDomain.ZONE).total_slots
     yield Shortfall('', None, up, sum(need.slots for need in managed))
     for kind in FailureDomain:
         guarded = [need for need in managed if need.guards(kind)]
         if guarded:
-            left = up - inventory.fleet_up(kind).peak()
+            left = up - inventory.fleet_up_by_domain(kind).peak()
             promised = sum(
                 need.slots - need.deferrable_slots for need in guarded
             )
@@ -122,5 +121,5 @@
     up = inventory.up_slots(need.pool)
     yield Shortfall(need.pool, None, up, need.slots)
     if need.guard is not None:
-        left = up - inventory.up(need.pool, need.guard).peak()
-        yield Shortfall(need.pool, need.guard, left, need.least_slots)
+        left = up - inventory.up_by_domain(need.pool, need.guard).peak()
+        yield Shortfall(need.pool, need.guard, left, need.min_slots)
--- a/src/wigeonreach/fleet/_budget_parts.py
+++ b/src/wigeonreach/fleet/_budget_parts.py
@@ -1,8 +1,8 @@
-"""Split what may be down among zones, so that a cut-off zone can't exceed it.
+"""Split the slots that may be down among zones, safe under partitions.
 
-Each zone acts on its own VMs within its own part and asks nobody.  The sum
-of all parts never exceeds the whole, because a part shrinks only once its
-zone has acknowledged that, and others grow only from what is free.
+Each zone takes down its own VMs within its part, without coordination.  The
+sum of all parts never exceeds the total, because a part shrinks only after
+its zone has acknowledged the change, and parts grow only from free slots.
 """
 
 from __future__ import annotations
@@ -14,17 +14,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ZonePart:
-    """What one zone may hold down by its own actions.
+    """Slots that one zone may take down for maintenance.
 
     Attributes
     ----------
     offered_slots
-        The part as last sent to the zone.
+        Slots in the last offer sent to the zone.
     held_slots
-        The most that the zone may believe to be its part; what others can
-        not have.
+        Largest number of slots that the zone may still consider its part;
+        not available to other zones.
     version
-        Grows with each offer; a zone ignores older ones.
+        Version of the last offer; a zone ignores older ones.
     """
 
     zone: str
@@ -41,22 +41,22 @@
     unit_slots: int,
     waiting: Mapping[str, int],
 ) -> Mapping[str, int]:
-    """Return the part that each zone should have.
+    """Return the slots that each zone should get.
 
     Parameters
     ----------
     total_slots
-        What may be down in all zones together.
+        Slots that may be down in all zones together.
     unit_slots
-        Slots of the largest VM: a smaller part is of no use to a zone.
+        Slots of the largest VM; a zone can't use a smaller part.
     waiting
-        VMs that still have to be maintained, by zone.
+        Number of VMs that still have to be maintained, by zone.
 
     Returns
     -------
     Mapping[str, int]
-        Whole units by zone, most to the zones where most is waiting, and
-        never more to a zone than it can use.
+        Slots by zone in whole units, in proportion to the waiting VMs, and
+        never more than a zone can use.
     """
     units = dict.fromkeys(waiting, 0)
     for _ in range(total_slots // unit_slots):
@@ -75,41 +75,41 @@
     Parameters
     ----------
     parts
-        The parts so far.
+        The current parts, by zone.
     wanted
-        What each zone should have, in slots.
+        Slots that each zone should get.
     total_slots
-        What may be down in all zones together.  If it shrinks, zones keep
-        their parts until they have acknowledged less.
+        Slots that may be down in all zones together.  If it shrinks, zones
+        keep their parts until they have acknowledged smaller ones.
 
     Returns
     -------
     Parts
-        Shrunk offers wait for `acknowledge`; grown ones count at once,
-        because the zone may act on them as soon as they are sent.
+        Smaller offers take effect with `acknowledge`; larger ones count
+        immediately, because the zone may use them as soon as they are sent.
     """
     after = dict(parts)
     free = total_slots - sum(part.held_slots for part in parts.values())
     for zone, slots in wanted.items():
         part = after.get(zone, ZonePart(zone))
-        grown = min(slots - part.held_slots, max(free, 0))
-        aim = part.held_slots + grown
-        if aim == part.offered_slots:
+        change = min(slots - part.held_slots, max(free, 0))
+        offered = part.held_slots + change
+        if offered == part.offered_slots:
             continue
-        free -= max(grown, 0)
+        free -= max(change, 0)
         after[zone] = ZonePart(
             zone,
-            offered_slots=aim,
-            held_slots=max(aim, part.held_slots),
+            offered_slots=offered,
+            held_slots=max(offered, part.held_slots),
             version=part.version + 1,
         )
     return MappingProxyType(after)
 
 
 def acknowledge(parts: Parts, zone: str, version: int) -> Parts:
-    """Return the parts after a zone has taken an offer.
+    """Return the parts after a zone has acknowledged an offer.
 
-    An acknowledgement of an older offer changes nothing.
+    An acknowledgement of an older offer is ignored.
     """
     part = parts.get(zone)
     if part is None or part.version != version:
@@ -119,7 +119,7 @@
 
 
 def held_slots(parts: Iterable[ZonePart]) -> int:
-    """Return the most that all zones together may hold down."""
+    """Return the slots that all zones together may take down."""
     return sum(part.held_slots for part in parts)
 
 
--- a/src/wigeonreach/fleet/_budget_services.py
+++ b/src/wigeonreach/fleet/_budget_services.py
@@ -1,109 +1,110 @@
-"""Know which services are missing capacity, also by what they need."""
+"""Track capacity shortages of services, including their dependencies."""
 
 from __future__ import annotations
 
 import graphlib
 from collections.abc import Iterable, Iterator
 
-from wigeonreach.fleet._budget_clock import MissingClock
+from wigeonreach.fleet._budget_clock import ShortageHistory
 from wigeonreach.text import FleetText
 
 
-class ServiceClocks:
-    """The time that each service was missing, with its dependencies.
+class ServiceShortages:
+    """The unavailability of each service, including its dependencies.
 
-    A service is missing while its own pool lacks promised slots, or while
-    any service that it depends on is missing.
+    A service counts as unavailable while its own pool lacks promised slots,
+    or while any service that it depends on is unavailable.
 
     Parameters
     ----------
     text
-        The checked text in force.
-    before
-        The clocks of the text before; services keep what they have spent.
+        The validated configuration text in force.
+    previous
+        Shortages under the previous text; services that remain keep the
+        budget that they have already spent.
     """
 
     def __init__(
         self,
         text: FleetText,
-        before: ServiceClocks | None = None,
+        previous: ServiceShortages | None = None,
     ) -> None:
-        """Work out what each service needs, directly or not."""
+        """Compute the transitive dependencies of each service."""
         self._services = text.services
-        self._needs = _closures(text)
+        self._dependencies = _transitive_dependencies(text)
         self._dependents: dict[str, set[str]] = {
             name: set() for name in text.services
         }
-        for name, needs in self._needs.items():
+        for name, needs in self._dependencies.items():
             for needed in needs:
                 self._dependents[needed].add(name)
-        known = before.clocks if before else {}
-        self.clocks: dict[str, MissingClock] = {
-            name: known.get(name, MissingClock()) for name in text.services
+        known = previous.histories if previous else {}
+        self.histories: dict[str, ShortageHistory] = {
+            name: known.get(name, ShortageHistory()) for name in text.services
         }
-        lacking = before.lacking if before else set()
-        self.lacking: set[str] = lacking & text.services.keys()
+        short_services = previous.short_services if previous else set()
+        self.short_services: set[str] = short_services & text.services.keys()
 
     def observe(
         self,
         services: Iterable[str],
         now_s: float,
         *,
-        is_lacking: bool,
+        is_short: bool,
     ) -> None:
-        """Note whether services lack slots of their own from now on."""
+        """Record whether services lack slots of their own from now on."""
         for name in services:
-            if is_lacking == (name in self.lacking):
+            if is_short == (name in self.short_services):
                 continue
-            if is_lacking:
-                self.lacking.add(name)
+            if is_short:
+                self.short_services.add(name)
             else:
-                self.lacking.discard(name)
-            self._turn(name, now_s)
+                self.short_services.discard(name)
+            self._update_histories(name, now_s)
 
-    def is_lacking(self, service: str) -> bool:
-        """Return whether the service's own slots are missing."""
-        return service in self.lacking
+    def is_short(self, service: str) -> bool:
+        """Return whether the service itself lacks slots."""
+        return service in self.short_services
 
-    def missing_needs(self, services: Iterable[str]) -> Iterator[str]:
-        """Yield what some services depend on and that lacks slots."""
+    def short_dependencies(self, services: Iterable[str]) -> Iterator[str]:
+        """Yield the dependencies of the given services that lack slots."""
         for name in services:
-            yield from sorted(self.lacking & self._needs[name])
+            yield from sorted(self.short_services & self._dependencies[name])
 
-    def is_missing(self, service: str) -> bool:
-        """Return whether the service or something it needs lacks slots."""
-        return service in self.lacking or bool(
-            self.lacking & self._needs[service],
+    def is_unavailable(self, service: str) -> bool:
+        """Return whether the service or one of its dependencies lacks slots."""
+        return service in self.short_services or bool(
+            self.short_services & self._dependencies[service],
         )
 
-    def left_s(self, service: str, now_s: float) -> float:
-        """Return how long a service may still be missing, in seconds."""
+    def remaining_s(self, service: str, now_s: float) -> float:
+        """Return the unused time budget of a service, in seconds."""
         budget = self._services[service].budget
-        used_s = self.clocks[service].used_s(now_s, budget.window_s)
+        used_s = self.histories[service].total_s(now_s, budget.window_s)
         return budget.missing_s - used_s
 
-    def affected(self, services: Iterable[str]) -> Iterator[str]:
-        """Yield some services and all that depend on them."""
+    def with_dependents(self, services: Iterable[str]) -> Iterator[str]:
+        """Yield the given services and all that depend on them."""
         for name in services:
             yield name
             yield from sorted(self._dependents[name])
 
-    def _turn(self, changed: str, now_s: float) -> None:
-        for name in self.affected((changed,)):
+    def _update_histories(self, changed: str, now_s: float) -> None:
+        for name in self.with_dependents((changed,)):
             window_s = self._services[name].budget.window_s
-            self.clocks[name] = self.clocks[name].observed(
+            self.histories[name] = self.histories[name].with_observation(
                 now_s,
                 window_s,
-                is_missing=self.is_missing(name),
+                is_missing=self.is_unavailable(name),
             )
 
 
-def _closures(text: FleetText) -> dict[str, set[str]]:
+def _transitive_dependencies(text: FleetText) -> dict[str, set[str]]:
     graph = {
         name: service.depends_on for name, service in text.services.items()
     }
     closures: dict[str, set[str]] = {}
-    # What a service needs comes before it in this order.
+    # In topological order, dependencies come before their dependents.
     for name in graphlib.TopologicalSorter(graph).static_order():
         direct = set(graph[name])
         closures[name] = direct.union(*(closures[one] for one in direct))
--- a/src/wigeonreach/fleet/_buffer.py
+++ b/src/wigeonreach/fleet/_buffer.py
@@ -1,4 +1,4 @@
-"""Work out how many VMs a fleet needs beyond what is promised."""
+"""Size the spare capacity that a fleet needs beyond the promised slots."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 
 
 class BufferWay(enum.StrEnum):
-    """Ways to hold spare capacity.
+    """Strategies for holding spare capacity.
 
     Attributes
     ----------
     PER_POOL
-        Each pool survives its worst domain on its own, beside one VM that
-        is being maintained.
+        Each pool on its own survives the loss of its largest domain while
+        one VM is under maintenance.
     SHARED
-        Pools hold what the depth of their budgets asks for; spare that all
-        share is sized by the worst domain of the fleet and one VM that is
-        being maintained.
+        Pools hold what the depth of their budgets requires; spare capacity
+        shared by all pools covers the loss of the largest domain of the fleet
+        while one VM is under maintenance.
     COVERED
-        As shared, but work that can wait gives way while a domain is lost.
+        As SHARED, but deferrable work is preempted while a domain is lost.
     BORROWED
-        As covered, and the budget's time instead of spare covers VMs that
-        are being maintained.
+        As COVERED, but the budget's time instead of spare capacity covers
+        VMs under maintenance.
     """
 
     PER_POOL = 'per-pool'
@@ -40,16 +40,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FleetShape:
-    """What VMs of a fleet look like and where they stand, evenly spread.
+    """Topology of a fleet of equal VMs that are spread evenly.
 
     Attributes
     ----------
     zones, rack_vms
-        Availability zones, and VMs of one rack.
+        Number of availability zones, and of VMs per rack.
     vm_slots
         Slots of each VM.
     guard
-        The widest domain guarded against.
+        Widest failure domain whose loss must be survived.
     """
 
     zones: int
@@ -58,7 +58,7 @@
     guard: FailureDomain
 
     def domain_vms(self, vms: int) -> int:
-        """Return how many of some spread VMs the largest domain holds."""
+        """Return how many of the given VMs the largest domain contains."""
         if self.guard is FailureDomain.ZONE:
             return math.ceil(vms / self.zones)
         if self.guard is FailureDomain.RACK:
@@ -68,19 +68,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class BufferSize:
-    """The VMs that a fleet needs by one way.
+    """Number of VMs that a fleet needs with one strategy.
 
     Attributes
     ----------
     pool_vms
         VMs of each pool.
     reserve_vms
-        VMs that no pool needs at first.
+        VMs that are not assigned to a pool initially.
     held_ratio
-        Share of the capacity beyond what is promised.
+        Ratio of spare capacity, beyond the promised slots, to all capacity.
     floor_ratio
-        Share that the largest guarded domain takes; no way that keeps every
-        promise through its loss can hold less, unless work can wait.
+        Ratio of the largest guarded domain to all capacity: the lower bound
+        of `held_ratio` for keeping every promise through the loss of that
+        domain, unless work can wait.
     """
 
     way: BufferWay
@@ -100,24 +101,27 @@
     needs: Iterable[PoolNeed],
     shape: FleetShape,
 ) -> BufferSize:
-    """Return the fewest VMs that keep every promise by one way.
+    """Return the smallest fleet that keeps every promise with one strategy.
 
     Parameters
     ----------
     way
-        How spare is held.
+        Strategy for holding spare capacity.
     needs
-        What each pool promises.
+        Requirements of each pool.
     shape
-        The VMs and their domains.
+        Topology of the fleet.
     """
     pools = [need for need in needs if need.slots]
-    is_alone = way is BufferWay.PER_POOL
+    is_isolated = way is BufferWay.PER_POOL
     pool_vms = {
-        need.pool: _pool_vms(need, shape, is_alone=is_alone) for need in pools
+        need.pool: _pool_vms(need, shape, is_isolated=is_isolated)
+        for need in pools
     }
     own_vms = sum(pool_vms.values())
-    total_vms = own_vms if is_alone else _fleet_vms(way, pools, shape, own_vms)
+    total_vms = (
+        own_vms if is_isolated else _fleet_vms(way, pools, shape, own_vms)
+    )
     promised = sum(need.slots for need in pools)
     return BufferSize(
         way=way,
@@ -128,19 +132,19 @@
     )
 
 
-def _pool_vms(need: PoolNeed, shape: FleetShape, *, is_alone: bool) -> int:
-    fits = _fits_alone if is_alone else _fits_depth
+def _pool_vms(need: PoolNeed, shape: FleetShape, *, is_isolated: bool) -> int:
+    fits = _is_self_sufficient if is_isolated else _keeps_depth
     return next(vms for vms in itertools.count(1) if fits(need, shape, vms))
 
 
-def _fits_alone(need: PoolNeed, shape: FleetShape, vms: int) -> bool:
+def _is_self_sufficient(need: PoolNeed, shape: FleetShape, vms: int) -> bool:
     left = vms - shape.domain_vms(vms) - 1
     return left * shape.vm_slots >= need.slots
 
 
-def _fits_depth(need: PoolNeed, shape: FleetShape, vms: int) -> bool:
+def _keeps_depth(need: PoolNeed, shape: FleetShape, vms: int) -> bool:
     left = vms - shape.domain_vms(vms)
-    has_depth = left * shape.vm_slots >= need.least_slots
+    has_depth = left * shape.vm_slots >= need.min_slots
     return has_depth and vms * shape.vm_slots >= need.slots
 
 
@@ -152,9 +156,9 @@
 ) -> int:
     maintained = 0 if way is BufferWay.BORROWED else 1
     promised = sum(need.slots for need in pools)
-    waiting = sum(need.deferrable_slots for need in pools)
-    guarded = promised if way is BufferWay.SHARED else promised - waiting
-    # One VM must be there to be lent to pools whose VMs are maintained.
+    deferrable = sum(need.deferrable_slots for need in pools)
+    guarded = promised if way is BufferWay.SHARED else promised - deferrable
+    # One extra VM is lent to pools whose VMs are under maintenance.
     for vms in itertools.count(own_vms + 1):
         left = vms - shape.domain_vms(vms) - maintained
         up = vms - maintained
--- a/src/wigeonreach/fleet/_model.py
+++ b/src/wigeonreach/fleet/_model.py
@@ -1,4 +1,4 @@
-"""Hold VMs and what each pool needs as plain immutable data."""
+"""Immutable data classes of VMs and of the capacity that pools need."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class VmState(enum.StrEnum):
-    """What a VM does for its pool."""
+    """Operational state of a VM."""
 
     SERVING = 'serving'
     DRAINING = 'draining'
@@ -39,17 +39,17 @@
     Attributes
     ----------
     name
-        Unique in the fleet.
+        Name, unique in the fleet.
     zone, rack
-        The failure domains it stands in; a rack stands in one zone.
+        Failure domains of the VM; a rack belongs to exactly one zone.
     pool
-        The only pool whose work it may get.
+        The only pool whose work the VM accepts.
     state
-        Only a serving VM counts as capacity.
+        Operational state; only a serving VM counts as capacity.
     slots
-        Requests or tasks that it serves at once.
+        Requests or tasks that the VM serves concurrently.
     processors, memory_bytes, accelerators
-        What its worker offers to jobs.
+        Resources that its worker offers to jobs.
     """
 
     name: str
@@ -69,11 +69,11 @@
 
     @property
     def is_maintained(self) -> bool:
-        """Whether the VM is down because of this system's own action."""
+        """Whether this system has taken the VM down for maintenance."""
         return self.state in _MAINTAINED_STATES
 
     def domain(self, kind: FailureDomain) -> str:
-        """Return the name of the VM's failure domain of a kind."""
+        """Return the name of the VM's failure domain of the given kind."""
         if kind is FailureDomain.ZONE:
             return self.zone
         if kind is FailureDomain.RACK:
@@ -83,28 +83,28 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PoolNeed:
-    """What the services of one pool need of it together.
+    """Capacity that the services of one pool need together.
 
     Attributes
     ----------
     slots
-        Sum of the capacity promised.
-    least_slots
-        Slots below which the strictest budget is broken at once.
+        Sum of the slots promised by the services.
+    min_slots
+        Slots below which the strictest budget is violated immediately.
     deferrable_slots
         Part of ``slots`` whose work can wait while a domain is lost.
     services
         Names of the services of the pool.
     guard
-        The widest failure domain guarded against, if any.
+        Widest failure domain whose loss must be survived, if any.
     is_watched
-        Whether some service is still run by others, so that no VM of the
-        pool may be touched.
+        Whether another system still operates some service of the pool, so
+        that none of its VMs may be drained or moved.
     """
 
     pool: str
     slots: int
-    least_slots: float
+    min_slots: float
     deferrable_slots: float
     services: tuple[str, ...]
     guard: FailureDomain | None
@@ -112,14 +112,14 @@
 
     @property
     def guarded_slots(self) -> float:
-        """What must be left while a domain is lost and some work waits."""
+        """Slots that must remain while a domain is lost and work waits."""
         return self.slots - self.deferrable_slots
 
     def guards(self, kind: FailureDomain) -> bool:
         """Return whether the loss of one domain of this kind is guarded.
 
-        A wider guard includes the narrower ones, for a rack stands in one
-        zone and a VM in one rack.
+        A wider guard includes the narrower ones, because a rack belongs to
+        one zone and a VM to one rack.
         """
         if self.guard is None:
             return False
@@ -127,24 +127,24 @@
         return width(self.guard) <= width(kind)
 
 
-def widest(kinds: Iterable[FailureDomain]) -> FailureDomain | None:
-    """Return the widest of some failure domains, or None of none."""
+def widest_domain(kinds: Iterable[FailureDomain]) -> FailureDomain | None:
+    """Return the widest of the given failure domains, or None if empty."""
     found = frozenset(kinds)
     return next((kind for kind in _DOMAINS_BY_WIDTH if kind in found), None)
 
 
 def pool_needs(text: FleetText) -> Mapping[str, PoolNeed]:
-    """Return what each pool of a text must hold, by pool.
+    """Return the capacity that each pool needs, by pool name.
 
     Parameters
     ----------
     text
-        The checked text in force.
+        The validated configuration text in force.
 
     Returns
     -------
     Mapping[str, PoolNeed]
-        Also the pools without services, which need nothing.
+        Includes pools without services, which need no capacity.
     """
     services: dict[str, list[Service]] = {name: [] for name in text.pools}
     for service in text.services.values():
@@ -152,19 +152,19 @@
             services[service.pool].append(service)
     return MappingProxyType(
         {
-            pool: _need(pool, members, text.guards)
+            pool: _pool_need(pool, members, text.guards)
             for pool, members in services.items()
         }
     )
 
 
-def _need(
+def _pool_need(
     pool: str,
     services: list[Service],
     fleet_guards: frozenset[FailureDomain],
 ) -> PoolNeed:
     slots = sum(service.promised_slots for service in services)
-    # Services of a pool share its VMs, so the strictest ratio binds all.
+    # Services of a pool share its VMs, so the strictest ratio applies to all.
     missing_ratio = min(
         (service.budget.missing_ratio for service in services),
         default=0.0,
@@ -176,13 +176,13 @@
     return PoolNeed(
         pool=pool,
         slots=slots,
-        least_slots=slots * (1 - missing_ratio),
+        min_slots=slots * (1 - missing_ratio),
         deferrable_slots=sum(
             service.promised_slots * service.deferrable_ratio
             for service in services
         ),
         services=tuple(service.name for service in services),
-        guard=widest(kind for some in guards for kind in some),
+        guard=widest_domain(kind for some in guards for kind in some),
         is_watched=any(
             service.mode is ServiceMode.WATCHED for service in services
         ),
--- a/src/wigeonreach/fleet/_moves_choice.py
+++ b/src/wigeonreach/fleet/_moves_choice.py
@@ -1,4 +1,4 @@
-"""Choose the VM whose move to a pool disturbs least."""
+"""Select the VM whose move to a pool disturbs the least work."""
 
 from __future__ import annotations
 
@@ -11,32 +11,34 @@
 from wigeonreach.fleet._inventory import Inventory
 from wigeonreach.fleet._model import Vm
 from wigeonreach.fleet._moves_damping import PoolDemand, VmHistory
-from wigeonreach.fleet._moves_exchange import frees
+from wigeonreach.fleet._moves_exchange import frees_vm_in_zone
 from wigeonreach.fleet._moves_model import MoveCause, MoveSettings, VmWork
 from wigeonreach.text import FailureDomain
 
-# VMs of a pool compared for one move; bounds what a decision costs.
+# VMs of each pool compared for one move; bounds the cost of a decision.
 _CANDIDATES_PER_POOL = 32
 
 
-class Claims(Protocol):
-    """What waves have in hand."""
+class MaintenanceView(Protocol):
+    """VMs that maintenance waves work on or wait for."""
 
     def is_busy(self, vm: str) -> bool:
-        """Return whether a VM is being maintained."""
+        """Return whether a VM is under maintenance."""
 
     def is_waiting(self, pool: str) -> bool:
-        """Return whether VMs of a pool wait for their maintenance."""
+        """Return whether VMs of a pool are waiting for maintenance."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Wish:
-    """A pool wants one VM more.
+class MoveRequest:
+    """A pool's request for one more VM.
 
     Attributes
     ----------
+    have_slots, need_slots
+        Slots that the pool has and needs.
     zone
-        Where a VM waits for its maintenance, if that is the cause.
+        Zone of the VM waiting for maintenance, if that is the cause.
     """
 
     pool: str
@@ -47,22 +49,22 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Offer:
-    """A VM that another pool than the asking one should get first."""
+class Exchange:
+    """A VM of the requesting pool that another pool should get first."""
 
     vm: Vm
-    wish: Wish
+    request: MoveRequest
 
 
-class MoveChoice:
-    """Ranks VMs for moves, over the state of a planner of moves.
+class MoveSelector:
+    """Ranks VMs for moves, based on the state of a `MovePlanner`.
 
     Parameters
     ----------
     inventory, budgets, settings, claims
         As given to the planner.
     history, demand
-        What the planner remembers of VMs and pools.
+        Records of the planner about VMs and pools.
     """
 
     def __init__(
@@ -70,11 +72,11 @@
         inventory: Inventory,
         budgets: Budgets,
         settings: MoveSettings,
-        claims: Claims | None,
+        claims: MaintenanceView | None,
         history: VmHistory,
         demand: Mapping[str, PoolDemand],
     ) -> None:
-        """Start with no work known."""
+        """Start without known work."""
         self._inventory = inventory
         self._budgets = budgets
         self._settings = settings
@@ -84,83 +86,97 @@
         self._work: dict[str, VmWork] = {}
 
     def note_work(self, work: VmWork) -> None:
-        """Remember what a VM holds."""
+        """Record the work on a VM."""
         self._work[work.vm] = work
 
     def work_of(self, vm: Vm) -> VmWork:
-        """Return what is known of a VM's work."""
+        """Return the recorded work on a VM; none if unknown."""
         return self._work.get(vm.name, VmWork(vm.name, 0, 0))
 
-    def candidates(self, wish: Wish, now_s: float) -> Iterator[Vm]:
-        """Yield some VMs that may be moved and would help."""
+    def candidates(self, request: MoveRequest, now_s: float) -> Iterator[Vm]:
+        """Yield VMs that may be moved and would help the request."""
         for pool in self._budgets.needs:
-            if pool != wish.pool and not self._keeps_spare(pool, wish.cause):
+            if pool != request.pool and not self._keeps_spare(
+                pool, request.cause
+            ):
                 yield from (
                     vm
                     for vm in self._some_members(pool)
-                    if self._helps(vm, wish) and self.may_move(vm, wish, now_s)
+                    if self._helps(vm, request)
+                    and self.may_move(vm, request, now_s)
                 )
 
-    def exchanges(self, wish: Wish, now_s: float) -> Iterator[Offer]:
-        """Yield spare of a pool that helps only elsewhere.
+    def exchanges(
+        self, request: MoveRequest, now_s: float
+    ) -> Iterator[Exchange]:
+        """Yield spare VMs of the requesting pool that help via an exchange.
 
-        Given to another pool it frees a VM there in the zone where the wish
-        needs one, which then comes in exchange.
+        Such a VM stands in another zone than requested.  Moved to another
+        pool, it frees a VM there in the requested zone, which can then be
+        moved to the requesting pool.
         """
-        if wish.cause is not MoveCause.MAINTENANCE:
+        if request.cause is not MoveCause.MAINTENANCE:
             return
-        for vm in self._some_members(wish.pool):
-            back = dataclasses.replace(wish, zone=vm.zone)
-            if vm.zone != wish.zone and self.may_move(vm, back, now_s):
+        for vm in self._some_members(request.pool):
+            zone_request = dataclasses.replace(request, zone=vm.zone)
+            if vm.zone != request.zone and self.may_move(
+                vm, zone_request, now_s
+            ):
                 yield from (
-                    Offer(vm, dataclasses.replace(back, pool=need.pool))
+                    Exchange(
+                        vm, dataclasses.replace(zone_request, pool=need.pool)
+                    )
                     for need in self._budgets.needs.values()
-                    if need.pool != wish.pool
+                    if need.pool != request.pool
                     and not need.is_watched
-                    and frees(self._inventory, need, vm, wish.zone)
+                    and frees_vm_in_zone(
+                        self._inventory, need, vm, request.zone
+                    )
                 )
 
-    def may_move(self, vm: Vm, wish: Wish, now_s: float) -> bool:
-        """Return whether a VM may leave its pool for a wish."""
+    def may_move(self, vm: Vm, request: MoveRequest, now_s: float) -> bool:
+        """Return whether a VM may leave its pool for a request."""
         if self._claims is not None and self._claims.is_busy(vm.name):
             return False
         if self._history.is_flapping(vm.name, now_s):
             return False
-        stay_s = self._stay_s(wish.cause)
-        if not self._history.is_settled(vm.name, now_s, stay_s):
+        min_stay_s = self._min_stay_s(request.cause)
+        if not self._history.is_settled(vm.name, now_s, min_stay_s):
             return False
-        if wish.cause is MoveCause.USAGE and self._is_used(vm):
+        if request.cause is MoveCause.USAGE and self._is_used(vm):
             return False
-        need = self._budgets.needs[wish.pool]
-        is_emergency = wish.have_slots < need.guarded_slots
-        verdict = self._budgets.judge_leaving(vm, is_emergency=is_emergency)
+        need = self._budgets.needs[request.pool]
+        is_emergency = request.have_slots < need.guarded_slots
+        verdict = self._budgets.check_move(vm, is_emergency=is_emergency)
         return verdict.is_allowed
 
-    def cost(self, wish: Wish, vm: Vm) -> tuple[int, int, int, int, str]:
-        """Rank by what is disturbed, then by need and spread over zones."""
+    def cost(
+        self, request: MoveRequest, vm: Vm
+    ) -> tuple[int, int, int, int, str]:
+        """Return a sort key: disturbed work, the pool's need, zone spread."""
         work = self.work_of(vm)
-        zones = self._inventory.up(wish.pool, FailureDomain.ZONE)
-        # Spare in the zone of a VM under maintenance takes its place there.
-        in_zone = -1 if vm.zone == wish.zone else zones.slots(vm.zone)
+        zones = self._inventory.up_by_domain(request.pool, FailureDomain.ZONE)
+        # A VM in the zone of the one under maintenance replaces it best.
+        in_zone = -1 if vm.zone == request.zone else zones.slots(vm.zone)
         needed = self._budgets.needs[vm.pool].slots
         return work.in_flight, work.checkpointable, needed, in_zone, vm.name
 
     def _some_members(self, pool: str) -> list[Vm]:
-        members = self._inventory.members(pool)
+        members = self._inventory.vms_in_pool(pool)
         return list(itertools.islice(members, _CANDIDATES_PER_POOL))
 
-    def _helps(self, vm: Vm, wish: Wish) -> bool:
-        if wish.cause is not MoveCause.MAINTENANCE:
+    def _helps(self, vm: Vm, request: MoveRequest) -> bool:
+        if request.cause is not MoveCause.MAINTENANCE:
             return True
-        need = self._budgets.needs[wish.pool]
-        return frees(self._inventory, need, vm, wish.zone)
+        need = self._budgets.needs[request.pool]
+        return frees_vm_in_zone(self._inventory, need, vm, request.zone)
 
     def _is_used(self, vm: Vm) -> bool:
-        used = self._demand[vm.pool].used_slots / self._settings.used_ratio
+        used = self._demand[vm.pool].used_slots / self._settings.max_usage_ratio
         return self._inventory.up_slots(vm.pool) - vm.slots < used
 
     def _keeps_spare(self, pool: str, cause: MoveCause) -> bool:
-        """Return whether a pool keeps what was lent for its maintenance.
+        """Return whether a pool keeps VMs lent for its maintenance.
 
         Otherwise pools would take the same VM from each other in turn.
         """
@@ -170,9 +186,9 @@
         has_use = self._demand[pool].keeps_spare
         return is_needed and has_use and self._claims.is_waiting(pool)
 
-    def _stay_s(self, cause: MoveCause) -> float:
+    def _min_stay_s(self, cause: MoveCause) -> float:
         if cause is MoveCause.DEPTH:
             return 0.0
         if cause is MoveCause.MAINTENANCE:
-            return self._settings.lend_s
-        return self._settings.stay_s
+            return self._settings.min_loan_s
+        return self._settings.min_stay_s
--- a/src/wigeonreach/fleet/_moves_exchange.py
+++ b/src/wigeonreach/fleet/_moves_exchange.py
@@ -1,4 +1,4 @@
-"""Tell whether one VM in exchange for another keeps a pool guarded."""
+"""Check whether a pool stays guarded when it exchanges one VM for another."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from wigeonreach.text import FailureDomain
 
 
-def frees(
+def frees_vm_in_zone(
     inventory: Inventory,
     need: PoolNeed,
     gained: Vm,
@@ -18,18 +18,18 @@
     Parameters
     ----------
     inventory
-        The VMs.
+        The VMs of the fleet.
     need
-        What the pool must keep.
+        Requirements of the pool.
     gained
         A VM of another pool.
     zone
-        Where the VM of this pool stands that would go down or leave.
+        Zone of the VM of this pool that would be taken down or leave.
     """
-    counts = inventory.up(need.pool, FailureDomain.ZONE)
+    counts = inventory.up_by_domain(need.pool, FailureDomain.ZONE)
     if not counts.slots(zone):
         return False
-    # VMs of a fleet are taken to be of one size here.
+    # Assumes that all VMs of the fleet have the same number of slots.
     up_slots = counts.total_slots
     if up_slots < need.slots:
         return False
@@ -39,4 +39,4 @@
     if gained.zone != zone:
         in_zone = counts.slots(gained.zone) + gained.slots
         peak = max(counts.peak(zone, gained.slots), in_zone)
-    return up_slots - peak >= need.least_slots
+    return up_slots - peak >= need.min_slots
--- a/src/wigeonreach/fleet/_moves_model.py
+++ b/src/wigeonreach/fleet/_moves_model.py
@@ -1,4 +1,4 @@
-"""Messages, settings and records of moves between pools."""
+"""Messages, settings and records of VM moves between pools."""
 
 from __future__ import annotations
 
@@ -8,59 +8,62 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MoveSettings:
-    """How much moves are damped.
+    """Delays and limits that keep VMs from being moved too often.
 
     Attributes
     ----------
-    gather_s
-        Nothing is moved for so long after a loss: VMs of one domain fail
-        together but are reported one after another.
+    loss_delay_s
+        Seconds without moves after a loss, because VMs of one failure domain
+        fail together but are reported one after another.
     grace_s
-        A promise is missed for so long before a VM is moved, unless the
-        depth of the budget is reached; most lost VMs come back sooner.
-    hold_s
-        Usage is high for so long before a VM is moved.
-    lag_s
-        A move shows in the usage only after this time, so usage measured
-        sooner moves nothing more.
-    stay_s
-        A VM stays in its pool at least so long.
-    lend_s
-        A VM lent for maintenance stays at least so long.
+        Seconds for which promised slots must be missing before a VM is moved,
+        unless the depth of the budget is reached; most lost VMs come back
+        sooner.
+    high_usage_s
+        Seconds for which usage must be high before a VM is moved.
+    usage_lag_s
+        Seconds until a move shows in the usage; usage measured sooner
+        triggers no further move.
+    min_stay_s
+        Minimum time that a VM stays in its pool, in seconds.
+    min_loan_s
+        Minimum time that a VM lent for maintenance stays, in seconds.
     flap_window_s, flap_changes
-        A VM that was lost so often in this window is not moved.
-    used_ratio
-        Share of a pool in use above which it wants another VM.
+        A VM that was lost this many times within this window, in seconds, is
+        not moved.
+    max_usage_ratio
+        Ratio of used slots above which a pool requests another VM.
     returns_surplus
-        Whether VMs go back to the pool they came from once it lacks nothing.
+        Whether VMs return to their original pool as soon as the pool that
+        they were moved to can spare them.
     """
 
-    gather_s: float = 15.0
+    loss_delay_s: float = 15.0
     grace_s: float = 300.0
-    hold_s: float = 600.0
-    lag_s: float = 120.0
-    stay_s: float = 3600.0
-    lend_s: float = 900.0
+    high_usage_s: float = 600.0
+    usage_lag_s: float = 120.0
+    min_stay_s: float = 3600.0
+    min_loan_s: float = 900.0
     flap_window_s: float = 3600.0
     flap_changes: int = 2
-    used_ratio: float = 0.8
+    max_usage_ratio: float = 0.8
     returns_surplus: bool = False
 
 
 UNDAMPED = MoveSettings(
-    gather_s=0.0,
+    loss_delay_s=0.0,
     grace_s=0.0,
-    hold_s=0.0,
-    lag_s=0.0,
-    stay_s=0.0,
-    lend_s=0.0,
+    high_usage_s=0.0,
+    usage_lag_s=0.0,
+    min_stay_s=0.0,
+    min_loan_s=0.0,
     flap_window_s=0.0,
     returns_surplus=True,
 )
 
 
 class MoveCause(enum.StrEnum):
-    """Why a pool wants another VM."""
+    """Reason why a VM is moved to a pool."""
 
     DEPTH = 'depth'
     PROMISE = 'promise'
@@ -71,7 +74,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UsageReport:
-    """Slots of a pool in use at an earlier time."""
+    """Slots of a pool in use, measured at an earlier time."""
 
     pool: str
     used_slots: float
@@ -80,7 +83,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class VmChanged:
-    """The inventory holds a VM in a new state."""
+    """The state of a VM in the inventory has changed."""
 
     vm: str
     is_lost: bool = False
@@ -88,14 +91,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class VmWork:
-    """What would be disturbed by moving a VM.
+    """Work on a VM that a move would disturb.
 
     Attributes
     ----------
     in_flight
-        Work that has to end first.
+        Number of requests or tasks that must end before the move.
     checkpointable
-        Work that can be checkpointed and go on elsewhere.
+        Number of tasks that can be checkpointed and resumed elsewhere.
     """
 
     vm: str
@@ -105,12 +108,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WantSpare:
-    """Maintenance of a pool waits for spare that it does not have.
+    """Maintenance of a pool is blocked by a lack of spare capacity.
 
     Attributes
     ----------
     zone
-        Where the VM stands that waits; spare in the same zone helps most.
+        Zone of the waiting VM; spare capacity in the same zone helps most.
     """
 
     pool: str
@@ -119,7 +122,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MoveEnded:
-    """A move that was asked for is done, or failed."""
+    """A requested move has completed or failed."""
 
     vm: str
     is_done: bool
@@ -127,16 +130,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MoveRecord:
-    """One move and why it was made.
+    """One move and its reasons.
 
     Attributes
     ----------
     have_slots, need_slots
-        What the receiving pool had and wanted.
+        Slots that the receiving pool had and needed.
     candidates
-        VMs that were compared.
+        Number of VMs that were compared.
     in_flight, checkpointable
-        What the move disturbs.
+        Work that the move disturbs, as in `VmWork`.
     """
 
     at_s: float
@@ -152,7 +155,7 @@
     checkpointable: int
 
     def line(self) -> str:
-        """Return the reasons on one line for a person."""
+        """Return a one-line explanation of the move for operators."""
         return (
             f'{self.vm}: {self.from_pool} -> {self.to_pool} because of'
             f' {self.cause}: {self.to_pool} had {self.have_slots:g} of'
--- a/src/wigeonreach/fleet/_moves_planner.py
+++ b/src/wigeonreach/fleet/_moves_planner.py
@@ -1,4 +1,4 @@
-"""Move VMs between pools only when a pool needs one."""
+"""Plan moves of VMs to pools that need another one."""
 
 from __future__ import annotations
 
@@ -10,7 +10,11 @@
 from wigeonreach.fleet._budget import Budgets
 from wigeonreach.fleet._inventory import Inventory
 from wigeonreach.fleet._model import Vm, VmState
-from wigeonreach.fleet._moves_choice import Claims, MoveChoice, Wish
+from wigeonreach.fleet._moves_choice import (
+    MaintenanceView,
+    MoveSelector,
+    MoveRequest,
+)
 from wigeonreach.fleet._moves_damping import PoolDemand, VmHistory
 from wigeonreach.fleet._moves_model import (
     MoveCause,
@@ -25,25 +29,25 @@
 from wigeonreach.fleet._waves_model import Tick
 
 _RECORDS_KEPT = 1000
-_ASK_AGAIN_S = 10.0
+_RETRY_S = 10.0
 
 Message = UsageReport | VmChanged | VmWork | WantSpare | MoveEnded | Tick
 
 
 class MovePlanner:
-    """Decides which VM goes to which pool, and why.
+    """Decides which VM moves to which pool, and records the reasons.
 
-    A VM on its way is draining in its old pool until the move has ended, so
-    it is in exactly one pool and counts nowhere.
+    A moving VM is draining in its old pool until the move has ended, so it
+    belongs to exactly one pool and counts as capacity of none.
 
     Parameters
     ----------
     inventory, budgets
-        The VMs and what pools must keep; changed with each move.
+        The VMs and the budgets of the pools; updated with each move.
     settings
-        How much moves are damped.
+        Delays and limits of moves.
     claims
-        What waves have in hand, if there are any.
+        VMs under maintenance by waves, if there are any.
     """
 
     def __init__(
@@ -51,9 +55,9 @@
         inventory: Inventory,
         budgets: Budgets,
         settings: MoveSettings | None = None,
-        claims: Claims | None = None,
+        claims: MaintenanceView | None = None,
     ) -> None:
-        """Start with no moves."""
+        """Start without moves."""
         self.records: collections.deque[MoveRecord] = collections.deque(
             maxlen=_RECORDS_KEPT,
         )
@@ -64,7 +68,7 @@
         self._demand: dict[str, PoolDemand] = collections.defaultdict(
             PoolDemand,
         )
-        self._choice = MoveChoice(
+        self._selector = MoveSelector(
             inventory,
             budgets,
             self._settings,
@@ -76,58 +80,58 @@
         self._incoming: collections.Counter[str] = collections.Counter()
         self._outgoing: collections.Counter[str] = collections.Counter()
         self._last_loss_s = float('-inf')
-        self._home: dict[str, str] = {}
+        self._original_pools: dict[str, str] = {}
 
     def handle(self, message: Message, now_s: float) -> list[MoveRecord]:
-        """Take one message and decide on moves.
+        """Process one message and decide on moves.
 
         Parameters
         ----------
         message
             A report, the end of a move, or the passing of time.
         now_s
-            Time, in seconds.
+            Current time, in seconds.
 
         Returns
         -------
         list[MoveRecord]
-            Moves to be made now.
+            Moves to carry out now.
         """
-        self._take(message, now_s)
+        self._handle(message, now_s)
         return list(self._plan(now_s))
 
     def explain(self, vm: str) -> list[str]:
-        """Return why a VM was moved, newest last."""
+        """Return the explanations of a VM's moves, newest last."""
         return [record.line() for record in self.records if record.vm == vm]
 
     @functools.singledispatchmethod
-    def _take(self, message: Message, now_s: float) -> None:
+    def _handle(self, message: Message, now_s: float) -> None:
         raise TypeError(message)
 
-    @_take.register
-    def _usage(self, message: UsageReport, now_s: float) -> None:
+    @_handle.register
+    def _on_usage(self, message: UsageReport, now_s: float) -> None:
         demand = self._demand[message.pool]
-        up_slots = self._up_soon(message.pool)
+        up_slots = self._expected_slots(message.pool)
         demand.note_usage(message, up_slots, self._settings)
 
-    @_take.register
-    def _changed(self, message: VmChanged, now_s: float) -> None:
+    @_handle.register
+    def _on_vm_changed(self, message: VmChanged, now_s: float) -> None:
         if message.is_lost:
             self._history.note_lost(message.vm, now_s)
             self._last_loss_s = now_s
-            self._end(message.vm)
+            self._finish_move(message.vm)
 
-    @_take.register
-    def _note_work(self, message: VmWork, now_s: float) -> None:
-        self._choice.note_work(message)
+    @_handle.register
+    def _on_work(self, message: VmWork, now_s: float) -> None:
+        self._selector.note_work(message)
 
-    @_take.register
-    def _want(self, message: WantSpare, now_s: float) -> None:
+    @_handle.register
+    def _on_spare_wanted(self, message: WantSpare, now_s: float) -> None:
         self._demand[message.pool].spare_zone = message.zone
 
-    @_take.register
-    def _ended(self, message: MoveEnded, now_s: float) -> None:
-        record = self._end(message.vm)
+    @_handle.register
+    def _on_move_ended(self, message: MoveEnded, now_s: float) -> None:
+        record = self._finish_move(message.vm)
         vm = self._inventory.find(message.vm)
         if record is None or vm is None:
             return
@@ -135,105 +139,105 @@
         after = dataclasses.replace(vm, pool=pool, state=VmState.SERVING)
         self._put(vm, after, now_s)
 
-    @_take.register
-    def _tick(self, message: Tick, now_s: float) -> None:
-        """Only time has passed."""
+    @_handle.register
+    def _on_tick(self, message: Tick, now_s: float) -> None:
+        """Change no state; handling any message also plans moves."""
 
     def _plan(self, now_s: float) -> Iterator[MoveRecord]:
         for known in self._budgets.needs:
             self._note_shortage(known, now_s)
-        if now_s - self._last_loss_s < self._settings.gather_s:
+        if now_s - self._last_loss_s < self._settings.loss_delay_s:
             return
         for pool in self._budgets.needs:
-            wish = self._wish(pool, now_s)
-            while wish is not None:
-                record = self._serve(wish, now_s)
+            request = self._next_request(pool, now_s)
+            while request is not None:
+                record = self._fulfil(request, now_s)
                 if record is None:
                     break
                 yield record
-                wish = self._wish(pool, now_s)
+                request = self._next_request(pool, now_s)
         if self._settings.returns_surplus:
             yield from self._return_surplus(now_s)
 
-    def _wish(self, pool: str, now_s: float) -> Wish | None:
+    def _next_request(self, pool: str, now_s: float) -> MoveRequest | None:
         need = self._budgets.needs[pool]
         demand = self._demand[pool]
         have = self._note_shortage(pool, now_s)
-        if need.is_watched or now_s < demand.asks_again_s:
+        if need.is_watched or now_s < demand.retry_at_s:
             return None
         if demand.short_since_s is not None:
-            if have < need.least_slots:
-                return Wish(pool, MoveCause.DEPTH, have, need.slots)
+            if have < need.min_slots:
+                return MoveRequest(pool, MoveCause.DEPTH, have, need.slots)
             if now_s - demand.short_since_s >= self._settings.grace_s:
-                return Wish(pool, MoveCause.PROMISE, have, need.slots)
-        wanted = demand.used_slots / self._settings.used_ratio
+                return MoveRequest(pool, MoveCause.PROMISE, have, need.slots)
+        wanted = demand.used_slots / self._settings.max_usage_ratio
         if have < wanted and demand.is_high(now_s, self._settings):
-            return Wish(pool, MoveCause.USAGE, have, wanted)
+            return MoveRequest(pool, MoveCause.USAGE, have, wanted)
         zone = demand.spare_zone
         demand.spare_zone = None
         if zone is None or self._incoming[pool]:
             return None
-        return Wish(pool, MoveCause.MAINTENANCE, have, need.slots, zone)
+        return MoveRequest(pool, MoveCause.MAINTENANCE, have, need.slots, zone)
 
     def _note_shortage(self, pool: str, now_s: float) -> int:
-        have = self._up_soon(pool)
+        have = self._expected_slots(pool)
         is_short = have < self._budgets.needs[pool].slots
         self._demand[pool].note_short(now_s, is_short=is_short)
         return have
 
-    def _up_soon(self, pool: str) -> int:
-        """Count what is up, what comes back by itself and what is coming."""
-        coming = self._incoming[pool] - self._outgoing[pool]
-        held = self._inventory.held_slots(pool)
-        return self._inventory.up_slots(pool) + held + coming
+    def _expected_slots(self, pool: str) -> int:
+        """Return the slots up, under maintenance and moving to the pool."""
+        incoming = self._incoming[pool] - self._outgoing[pool]
+        held = self._inventory.pool_maintained_slots(pool)
+        return self._inventory.up_slots(pool) + held + incoming
 
-    def _serve(self, wish: Wish, now_s: float) -> MoveRecord | None:
-        candidates = list(self._choice.candidates(wish, now_s))
+    def _fulfil(self, request: MoveRequest, now_s: float) -> MoveRecord | None:
+        candidates = list(self._selector.candidates(request, now_s))
         if candidates:
-            cost = functools.partial(self._choice.cost, wish)
+            cost = functools.partial(self._selector.cost, request)
             best = min(candidates, key=cost)
-            return self._move(best, wish, len(candidates), now_s)
-        # Asking again on each event would cost much and change nothing.
-        self._demand[wish.pool].asks_again_s = now_s + _ASK_AGAIN_S
-        self._demand[wish.pool].keeps_spare = False
-        offer = next(self._choice.exchanges(wish, now_s), None)
-        if offer is None:
+            return self._move(best, request, len(candidates), now_s)
+        # Retrying on each event would be expensive and change nothing.
+        self._demand[request.pool].retry_at_s = now_s + _RETRY_S
+        self._demand[request.pool].keeps_spare = False
+        exchange = next(self._selector.exchanges(request, now_s), None)
+        if exchange is None:
             return None
-        return self._move(offer.vm, offer.wish, 1, now_s)
+        return self._move(exchange.vm, exchange.request, 1, now_s)
 
     def _move(
         self,
         vm: Vm,
-        wish: Wish,
+        request: MoveRequest,
         candidates: int,
         now_s: float,
     ) -> MoveRecord:
-        work = self._choice.work_of(vm)
+        work = self._selector.work_of(vm)
         record = MoveRecord(
             at_s=now_s,
             vm=vm.name,
             from_pool=vm.pool,
-            to_pool=wish.pool,
+            to_pool=request.pool,
             slots=vm.slots,
-            cause=wish.cause,
-            have_slots=wish.have_slots,
-            need_slots=wish.need_slots,
+            cause=request.cause,
+            have_slots=request.have_slots,
+            need_slots=request.need_slots,
             candidates=candidates,
             in_flight=work.in_flight,
             checkpointable=work.checkpointable,
         )
         self.records.append(record)
         self._moving[vm.name] = record
-        self._incoming[wish.pool] += vm.slots
+        self._incoming[request.pool] += vm.slots
         self._outgoing[vm.pool] += vm.slots
         self._history.note_moved(vm.name, now_s)
-        self._demand[wish.pool].note_move(now_s)
-        self._demand[wish.pool].keeps_spare = True
-        self._home.setdefault(vm.name, vm.pool)
+        self._demand[request.pool].note_move(now_s)
+        self._demand[request.pool].keeps_spare = True
+        self._original_pools.setdefault(vm.name, vm.pool)
         self._put(vm, dataclasses.replace(vm, state=VmState.DRAINING), now_s)
         return record
 
-    def _end(self, name: str) -> MoveRecord | None:
+    def _finish_move(self, name: str) -> MoveRecord | None:
         record = self._moving.pop(name, None)
         if record is not None:
             self._incoming[record.to_pool] -= record.slots
@@ -246,11 +250,11 @@
         self._budgets.observe(after.pool, now_s)
 
     def _return_surplus(self, now_s: float) -> Iterator[MoveRecord]:
-        for name, home in tuple(self._home.items()):
+        for name, original_pool in tuple(self._original_pools.items()):
             vm = self._inventory.find(name)
-            if vm is None or vm.pool == home or name in self._moving:
+            if vm is None or vm.pool == original_pool or name in self._moving:
                 continue
-            have = self._up_soon(home)
-            wish = Wish(home, MoveCause.SURPLUS, have, have)
-            if self._choice.may_move(vm, wish, now_s):
-                yield self._move(vm, wish, 1, now_s)
+            have = self._expected_slots(original_pool)
+            request = MoveRequest(original_pool, MoveCause.SURPLUS, have, have)
+            if self._selector.may_move(vm, request, now_s):
+                yield self._move(vm, request, 1, now_s)
--- a/src/wigeonreach/fleet/_peaks.py
+++ b/src/wigeonreach/fleet/_peaks.py
@@ -1,4 +1,4 @@
-"""Count slots by failure domain and know the largest at once."""
+"""Count slots by failure domain, with constant-time access to the maximum."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class PeakCounts:
-    """Slots by key, with the largest count in constant time.
+    """Slot counts by key, with the largest count available in constant time.
 
-    Changing a count takes logarithmic time, so that a decision about one VM
-    does not depend on the size of the fleet.
+    Updating a count takes logarithmic time, so the cost of a decision about
+    one VM hardly grows with the fleet.
     """
 
     def __init__(self) -> None:
@@ -19,7 +19,7 @@
         self.total_slots = 0
 
     def add(self, key: str, slots: int) -> None:
-        """Add slots to a key; negative ones are taken away."""
+        """Add slots to a key; a negative number subtracts."""
         before = self._slots.pop(key, 0)
         if before:
             self._ordered.remove((before, key))
@@ -39,7 +39,7 @@
         Parameters
         ----------
         without_key, without_slots
-            Return it as if these slots of this key were gone.
+            Slots of one key to leave out of the count.
         """
         if not self._ordered:
             return 0
--- a/src/wigeonreach/fleet/_placement.py
+++ b/src/wigeonreach/fleet/_placement.py
@@ -6,8 +6,8 @@
 import heapq
 from collections.abc import Iterable, Mapping
 
-from wigeonreach.fleet._learning import Learner
-from wigeonreach.fleet._placement_ends import TaskEnds
+from wigeonreach.fleet._learning import UsageEstimator
+from wigeonreach.fleet._placement_ends import TaskEndHandler
 from wigeonreach.fleet._placement_jobs import (
     DONE_STATES,
     JobEvent,
@@ -30,28 +30,28 @@
     WorkerJoined,
     WorkerLost,
 )
-from wigeonreach.fleet._placement_pool import Closed
+from wigeonreach.fleet._placement_pool import CloseReason
 from wigeonreach.fleet._placement_pools import Pools
-from wigeonreach.fleet._placement_queue import Offer, PoolQueue
+from wigeonreach.fleet._placement_queue import SchedulingCycle, PoolScheduler
 from wigeonreach.fleet._quarantine import Quarantine
 
 LEASE_S = 30.0
-# A worker's clock may run late by this much before its lease is over.
+# Largest lag of a worker's clock; a lease is treated as expired only after it.
 _CLOCK_MARGIN_S = 2.0
 
 
 class Placement:
-    """Decide which job runs where; nothing here does I/O.
+    """Decide on which worker each job runs, without any I/O.
 
     Parameters
     ----------
     quotas
         Processors by team.
     first_token
-        Lease tokens rise from here; each holder of the right to place starts
-        above all earlier ones.
+        First lease token; tokens increase, and each manager that becomes
+        responsible for placement starts above all earlier tokens.
     held_ratio
-        Part of each worker's processors that is held for urgent work.
+        Ratio of each worker's processors that is reserved for urgent jobs.
     """
 
     def __init__(
@@ -60,40 +60,40 @@
         first_token: int = 1,
         held_ratio: float = 0.0,
     ) -> None:
-        """Start without workers and jobs."""
-        self._learner = Learner()
+        """Start without workers or jobs."""
+        self._estimator = UsageEstimator()
         self._quarantine = Quarantine()
         self._jobs: dict[str, JobRecord] = {}
         self._pools = Pools(
             self._jobs,
             quotas,
             held_ratio,
-            self._learner,
+            self._estimator,
             self._quarantine,
         )
-        self._ends = TaskEnds(self._jobs, self._quarantine)
+        self._task_ends = TaskEndHandler(self._jobs, self._quarantine)
         self._uncertain: list[tuple[float, str, int]] = []
         self._next_token = first_token
 
     def job(self, job_id: str) -> JobRecord | None:
-        """Return what is known of a job."""
+        """Return the record of a job, or None if it is unknown."""
         return self._jobs.get(job_id)
 
     def has_jobs(self, worker: str) -> bool:
-        """Whether a worker may have jobs."""
+        """Whether jobs may be running on a worker."""
         pool = self._pools.of_worker(worker)
-        return pool is not None and bool(pool.rooms.state(worker).tenants)
+        return pool is not None and bool(pool.workers.state(worker).allocations)
 
     def change_quotas(self, quotas: Mapping[str, float]) -> None:
-        """Take new quotas, by team."""
+        """Replace the quotas, in processors by team."""
         self._pools.change_quotas(quotas)
 
-    def pool(self, name: str) -> PoolQueue:
-        """Return a pool, with its workers and waiting jobs."""
+    def pool(self, name: str) -> PoolScheduler:
+        """Return the scheduler of a pool."""
         return self._pools.get(name)
 
     def handle(self, event: Event, now_s: float) -> list[Effect]:
-        """Take one event in and return what is to be done, in this order."""
+        """Process one event and return its effects, in order."""
         return list(self._on(event, now_s))
 
     @functools.singledispatchmethod
@@ -113,9 +113,9 @@
         self._jobs[job.job_id] = record
         pool = self.pool(job.pool)
         if pool.never_fits(record):
-            return self._ends.set_aside(record, Reason.NEVER_FITS)
+            return self._task_ends.set_aside(record, Reason.NEVER_FITS)
         pool.enqueue(record)
-        return self._offer(pool, now_s)
+        return self._schedule(pool, now_s)
 
     @_on.register
     def _on_cancelled(
@@ -140,32 +140,32 @@
         before = self._pools.of_worker(worker.name)
         pool = self.pool(worker.pool)
         if before is not None and before is not pool:
-            if before.rooms.state(worker.name).tenants:
-                # It still is of its old pool until its last job has ended.
+            if before.workers.state(worker.name).allocations:
+                # The worker stays in its old pool until its last job ends.
                 return self._on_draining(WorkerDraining(worker.name), now_s)
-            before.rooms.leave(worker.name)
+            before.workers.leave(worker.name)
         self._pools.assign(worker.name, worker.pool)
         self._quarantine.forget_worker(worker.pool, worker.name)
-        pool.rooms.join(worker)
-        pool.rooms.state(worker.name).heard_s = now_s
+        pool.workers.join(worker)
+        pool.workers.state(worker.name).heard_s = now_s
         for task in event.found:
             if task.job.job_id not in self._jobs:
                 record = JobRecord(task.job)
                 self._jobs[task.job.job_id] = record
                 pool.adopt(record, worker.name, task.lease_token)
-        return self._offer(pool, now_s)
+        return self._schedule(pool, now_s)
 
     @_on.register
     def _on_heard(self, event: WorkerHeard, now_s: float) -> Iterable[Effect]:
         pool = self._pools.of_worker(event.name)
         if pool is None:
             return ()
-        state = pool.rooms.state(event.name)
+        state = pool.workers.state(event.name)
         state.heard_s = now_s
-        if Closed.LOST not in state.closed:
+        if CloseReason.LOST not in state.closed:
             return ()
-        pool.rooms.open(event.name, Closed.LOST)
-        return self._offer(pool, now_s)
+        pool.workers.open(event.name, CloseReason.LOST)
+        return self._schedule(pool, now_s)
 
     @_on.register
     def _on_draining(
@@ -176,13 +176,13 @@
         pool = self._pools.of_worker(event.name)
         if pool is None:
             return ()
-        pool.rooms.close(event.name, Closed.DRAINING)
-        tenants = tuple(pool.rooms.state(event.name).tenants.values())
+        pool.workers.close(event.name, CloseReason.DRAINING)
+        allocations = tuple(pool.workers.state(event.name).allocations.values())
         return [
-            pool.maker.stop(self._jobs[tenant.job_id], Reason.DRAINED)
-            for tenant in tenants
-            if tenant.gives_way
-            and self._jobs[tenant.job_id].state is JobState.RUNNING
+            pool.preemptor.stop(self._jobs[allocation.job_id], Reason.DRAINED)
+            for allocation in allocations
+            if allocation.is_preemptible
+            and self._jobs[allocation.job_id].state is JobState.RUNNING
         ]
 
     @_on.register
@@ -190,9 +190,9 @@
         pool = self._pools.of_worker(event.name)
         if pool is None:
             return ()
-        pool.rooms.lose(event.name, now_s)
-        for job_id in tuple(pool.rooms.state(event.name).tenants):
-            self._lose(pool, self._jobs[job_id])
+        pool.workers.mark_lost(event.name, now_s)
+        for job_id in tuple(pool.workers.state(event.name).allocations):
+            self._mark_uncertain(pool, self._jobs[job_id])
         return ()
 
     @_on.register
@@ -202,10 +202,10 @@
         now_s: float,
     ) -> Iterable[Effect]:
         record = self._current(event.job_id, event.lease_token)
-        # A lagging report may still tell of the time before this start.
+        # A delayed report may refer to the time before this start.
         if record is None or event.measured_at_s < record.started_at_s:
             return ()
-        need = self._learner.observe(record.job, event.used)
+        need = self._estimator.observe(record.job, event.used)
         return self.pool(record.job.pool).resize(record, need)
 
     @_on.register
@@ -213,16 +213,18 @@
         record = self._current(event.job_id, event.lease_token)
         if record is None or not record.allows(event.change):
             return ()
-        record.step(event.change)
+        record.apply(event.change)
         if event.change is TaskEnd.STARTED:
             return ()
         worker = record.worker
         pool = self.pool(record.job.pool)
         pool.release(record)
-        self._ends.judge(pool, record, worker, event.change, now_s)
-        effects = self._ends.settle(pool, record, worker)
-        effects.extend(self._offer(pool, now_s))
-        effects.extend(pool.maker.restore(worker))
+        self._task_ends.record_outcome(
+            pool, record, worker, event.change, now_s
+        )
+        effects = self._task_ends.resolve(pool, record, worker)
+        effects.extend(self._schedule(pool, now_s))
+        effects.extend(pool.preemptor.lift_throttling(worker))
         return effects
 
     @_on.register
@@ -230,35 +232,35 @@
         effects: list[Effect] = []
         while self._uncertain and self._uncertain[0][0] <= now_s:
             _, job_id, token = heapq.heappop(self._uncertain)
-            effects.extend(self._lease_ended(job_id, token, now_s))
+            effects.extend(self._expire_lease(job_id, token, now_s))
         for name in self._quarantine.due_for_probe(now_s):
             probed = self._pools.of_worker(name)
             if probed is not None:
-                probed.rooms.open(name, Closed.QUARANTINE)
+                probed.workers.open(name, CloseReason.QUARANTINE)
         for pool in self._pools.all():
-            effects.extend(self._offer(pool, now_s, is_thorough=True))
+            effects.extend(self._schedule(pool, now_s, is_exhaustive=True))
         return effects
 
-    def _offer(
+    def _schedule(
         self,
-        pool: PoolQueue,
+        pool: PoolScheduler,
         now_s: float,
         *,
-        is_thorough: bool = False,
+        is_exhaustive: bool = False,
     ) -> list[Effect]:
-        offer = Offer(
+        cycle = SchedulingCycle(
             now_s,
             now_s + LEASE_S,
             self._next_token,
-            is_thorough,
+            is_exhaustive,
         )
-        pool.offer(offer)
-        self._next_token = offer.next_token
-        for record in offer.never_fitting:
-            offer.effects.extend(
-                self._ends.set_aside(record, Reason.NEVER_FITS),
+        pool.schedule(cycle)
+        self._next_token = cycle.next_token
+        for record in cycle.unplaceable:
+            cycle.effects.extend(
+                self._task_ends.set_aside(record, Reason.NEVER_FITS),
             )
-        return offer.effects
+        return cycle.effects
 
     def _current(self, job_id: str, lease_token: int) -> JobRecord | None:
         record = self._jobs.get(job_id)
@@ -267,7 +269,7 @@
         return record
 
     def _cancel(self, record: JobRecord) -> list[Effect]:
-        record.step(JobEvent.CANCEL)
+        record.apply(JobEvent.CANCEL)
         pool = self.pool(record.job.pool)
         if record.state is JobState.CANCELLED:
             pool.dequeue(record)
@@ -282,26 +284,26 @@
             ),
         ]
 
-    def _lose(self, pool: PoolQueue, record: JobRecord) -> None:
+    def _mark_uncertain(self, pool: PoolScheduler, record: JobRecord) -> None:
         if not record.allows(JobEvent.LOST):
             return
-        record.step(JobEvent.LOST)
+        record.apply(JobEvent.LOST)
         if record.state in DONE_STATES:
             pool.release(record)
             return
         record.reason = Reason.WORKER_LOST
-        self._watch(record, self._lease_end_s(record))
+        self._schedule_expiry(record, self._lease_end_s(record))
 
     def _lease_end_s(self, record: JobRecord) -> float:
-        rooms = self.pool(record.job.pool).rooms
+        rooms = self.pool(record.job.pool).workers
         heard_until_s = rooms.state(record.worker).heard_s + LEASE_S
         return max(heard_until_s, record.lease_ends_s) + _CLOCK_MARGIN_S
 
-    def _watch(self, record: JobRecord, ends_s: float) -> None:
+    def _schedule_expiry(self, record: JobRecord, ends_s: float) -> None:
         entry = (ends_s, record.job.job_id, record.lease_token)
         heapq.heappush(self._uncertain, entry)
 
-    def _lease_ended(
+    def _expire_lease(
         self,
         job_id: str,
         lease_token: int,
@@ -310,14 +312,14 @@
         record = self._current(job_id, lease_token)
         if record is None or record.state is not JobState.UNCERTAIN:
             return []
-        # The worker may have been heard again, which renewed the lease.
+        # The worker may have answered since, which renewed the lease.
         ends_s = self._lease_end_s(record)
         if ends_s > now_s:
-            self._watch(record, ends_s)
+            self._schedule_expiry(record, ends_s)
             return []
         worker = record.worker
-        record.step(JobEvent.LEASE_ENDED)
+        record.apply(JobEvent.LEASE_ENDED)
         pool = self.pool(record.job.pool)
-        self._ends.judge_loss(pool, record)
+        self._task_ends.record_worker_loss(pool, record)
         pool.release(record)
-        return self._ends.settle(pool, record, worker)
+        return self._task_ends.resolve(pool, record, worker)
--- a/src/wigeonreach/fleet/_placement_ends.py
+++ b/src/wigeonreach/fleet/_placement_ends.py
@@ -1,4 +1,4 @@
-"""Decide what becomes of a job whose task ended."""
+"""Handle jobs whose task ended."""
 
 from __future__ import annotations
 
@@ -18,26 +18,27 @@
     SetAside,
     TaskEnd,
 )
-from wigeonreach.fleet._placement_pool import Closed
-from wigeonreach.fleet._placement_queue import PoolQueue
+from wigeonreach.fleet._placement_pool import CloseReason
+from wigeonreach.fleet._placement_queue import PoolScheduler
 from wigeonreach.fleet._quarantine import Quarantine
 
-# Submissions are resent within minutes; so many jobs end in far longer.
-_REMEMBERED_JOBS = 100_000
-# What had run for longer when its worker was last heard did not bring it down
-# by starting: several times the ten seconds after which silence is noticed.
-_BEGUN_S = 60.0
+# Submissions are resent within minutes, in which far fewer jobs end.
+_MAX_DONE_JOBS = 100_000
+# A job that had run for longer when its worker last answered is not held
+# responsible for the loss: several times the ten seconds after which a silent
+# worker is noticed.
+_JUST_STARTED_S = 60.0
 
 
-class TaskEnds:
-    """Judge worker and job by an end, then queue, report or forget the job.
+class TaskEndHandler:
+    """Record the outcome of a task, then requeue, report or retire its job.
 
     Parameters
     ----------
     jobs
         All jobs by id, shared with the owner.
     quarantine
-        What is known of failures.
+        Failure records of jobs and workers.
     """
 
     def __init__(
@@ -45,63 +46,68 @@
         jobs: MutableMapping[str, JobRecord],
         quarantine: Quarantine,
     ) -> None:
-        """Start with no job done."""
+        """Start without finished jobs."""
         self._jobs = jobs
         self._quarantine = quarantine
         self._done: collections.deque[str] = collections.deque()
 
-    def judge(
+    def record_outcome(
         self,
-        pool: PoolQueue,
+        pool: PoolScheduler,
         record: JobRecord,
         worker: str,
         change: TaskEnd,
         now_s: float,
     ) -> None:
-        """Let a success or a failure count for and against its worker."""
+        """Record a success or a failure of a job on its worker."""
         job = record.job
         if change is TaskEnd.FINISHED:
-            if self._quarantine.finished(job.pool, worker, job.family):
-                pool.rooms.open(worker, Closed.QUARANTINE)
+            if self._quarantine.note_success(job.pool, worker, job.family):
+                pool.workers.open(worker, CloseReason.QUARANTINE)
             return
         if change is not TaskEnd.FAILED:
-            self._quarantine.probe_again(worker)
+            self._quarantine.allow_probe(worker)
             return
-        if self._quarantine.failed(
+        if self._quarantine.note_failure(
             job.pool,
-            len(pool.rooms),
+            len(pool.workers),
             worker,
             job.job_id,
             job.family,
             now_s,
         ):
-            pool.rooms.close(worker, Closed.QUARANTINE)
+            pool.workers.close(worker, CloseReason.QUARANTINE)
 
-    def judge_loss(self, pool: PoolQueue, record: JobRecord) -> None:
-        """Let the loss of a worker count against a job that it had just begun.
+    def record_worker_loss(
+        self, pool: PoolScheduler, record: JobRecord
+    ) -> None:
+        """Count the loss of a worker against a job that it had just started.
 
-        Without this, a job that brings its workers down takes one after the
-        other; with it, three, as for a job that fails everywhere.
+        Without this, a job that crashes its workers would take down one after
+        the other; with it, at most three, the same limit as for a job that
+        fails everywhere.
         """
-        state = pool.rooms.state(record.worker)
+        state = pool.workers.state(record.worker)
         ran_s = state.heard_s - record.started_at_s
-        if ran_s < _BEGUN_S and not pool.rooms.lost_with_rack(record.worker):
-            self._quarantine.lost(record.job.job_id)
+        if ran_s < _JUST_STARTED_S and not pool.workers.lost_with_rack_peers(
+            record.worker
+        ):
+            self._quarantine.note_worker_lost(record.job.job_id)
 
-    def settle(
+    def resolve(
         self,
-        pool: PoolQueue,
+        pool: PoolScheduler,
         record: JobRecord,
         worker: str,
     ) -> list[Effect]:
-        """Queue a job again, or report it, or forget it."""
+        """Requeue, report, set aside or retire a job whose task ended."""
         if record.state is JobState.REPORTED:
             record.reason = Reason.MAY_HAVE_RUN
             return [ReportRun(record.job.job_id, worker, record.reason)]
         if record.state in DONE_STATES:
             self._retire(record)
             return []
-        if self._quarantine.is_bad_job(record.job.job_id):
+        if self._quarantine.failed_everywhere(record.job.job_id):
             return self.set_aside(record, Reason.FAILS_EVERYWHERE)
         if self._quarantine.loses_workers(record.job.job_id):
             return self.set_aside(record, Reason.LOSES_WORKERS)
@@ -109,16 +115,16 @@
         return []
 
     def set_aside(self, record: JobRecord, reason: Reason) -> list[Effect]:
-        """Try a waiting job no more."""
-        record.step(JobEvent.SET_ASIDE)
+        """Give up on a waiting job."""
+        record.apply(JobEvent.SET_ASIDE)
         record.reason = reason
         self._retire(record)
         return [SetAside(record.job.job_id, reason)]
 
     def _retire(self, record: JobRecord) -> None:
         self._quarantine.forget_job(record.job.job_id)
-        # A non-idempotent job is remembered, so that it never starts again.
+        # A non-idempotent job is kept, so that it never starts again.
         if record.job.is_idempotent:
             self._done.append(record.job.job_id)
-        if len(self._done) > _REMEMBERED_JOBS:
+        if len(self._done) > _MAX_DONE_JOBS:
             self._jobs.pop(self._done.popleft(), None)
--- a/src/wigeonreach/fleet/_placement_index.py
+++ b/src/wigeonreach/fleet/_placement_index.py
@@ -1,4 +1,4 @@
-"""Find a worker with enough free room without looking at all of them."""
+"""Index of workers by free resources, to find one without a full scan."""
 
 from __future__ import annotations
 
@@ -11,97 +11,99 @@
 
 from wigeonreach._room import Room
 
-_PROBES = 16
+_MAX_CANDIDATES = 16
 # Accelerators, then processors and memory as powers of two.
-_Level: TypeAlias = tuple[int, int, int]
+_SizeClass: TypeAlias = tuple[int, int, int]
 
 
-class RoomIndex:
-    """Workers by free room.
+class ResourceIndex:
+    """Workers indexed by free resources.
 
-    Workers are grouped by powers of two of each quantity, so that the number
-    of groups depends on the sizes of workers and not on how many there are.
+    Workers are grouped by powers of two of each resource, so that the number
+    of groups depends on the sizes of the workers and not on their number.
     Within a group they are sorted by free processors.
     """
 
     def __init__(self) -> None:
-        """Start with no worker."""
+        """Start without workers."""
         self._groups: SortedDict = SortedDict()
-        self._rooms: dict[str, Room] = {}
+        self._free: dict[str, Room] = {}
 
-    def put(self, name: str, room: Room) -> None:
-        """Set the free room of a worker."""
-        old = self._rooms.get(name)
-        if old == room:
+    def put(self, name: str, free: Room) -> None:
+        """Set the free resources of a worker."""
+        previous = self._free.get(name)
+        if previous == free:
             return
-        if old is not None:
+        if previous is not None:
             self.remove(name)
-        self._rooms[name] = room
-        level = _level_of(room)
-        group = self._groups.get(level)
+        self._free[name] = free
+        size_class = _size_class(free)
+        group = self._groups.get(size_class)
         if group is None:
             group = SortedList()
-            self._groups[level] = group
-        group.add((room.processors, name))
+            self._groups[size_class] = group
+        group.add((free.processors, name))
 
     def remove(self, name: str) -> None:
-        """Forget a worker; nothing happens if it is not known."""
-        room = self._rooms.pop(name, None)
-        if room is None:
+        """Remove a worker; unknown names are ignored."""
+        free = self._free.pop(name, None)
+        if free is None:
             return
-        level = _level_of(room)
-        group = self._groups[level]
-        group.remove((room.processors, name))
+        size_class = _size_class(free)
+        group = self._groups[size_class]
+        group.remove((free.processors, name))
         if not group:
-            self._groups.pop(level)
+            self._groups.pop(size_class)
 
     def find(
         self,
         need: Room,
         excluded: Container[str] = (),
-        probes: int | None = _PROBES,
+        max_candidates: int | None = _MAX_CANDIDATES,
     ) -> str | None:
-        """Return a worker with enough room, the tightest first.
+        """Return a worker with enough free resources, the tightest fit first.
 
         Parameters
         ----------
         need
-            What must fit in.
+            Required resources.
         excluded
-            Workers that are not wanted.
-        probes
-            How many workers of each group to look at; all if ``None``.
+            Names of workers to skip.
+        max_candidates
+            Number of workers to examine in each group; all if ``None``.
 
         Returns
         -------
         str or None
-            Its name, or nothing if none was found.
+            Name of the worker, or ``None`` if none was found.
         """
-        for name in self._candidates(need, probes):
-            if name not in excluded and self._rooms[name].holds(need):
+        for name in self._candidates(need, max_candidates):
+            if name not in excluded and self._free[name].holds(need):
                 return name
         return None
 
-    def _candidates(self, need: Room, probes: int | None) -> Iterator[str]:
-        wanted = _level_of(need)
-        for level in self._groups.irange(minimum=wanted):
-            if level[1] < wanted[1] or level[2] < wanted[2]:
+    def _candidates(
+        self, need: Room, max_candidates: int | None
+    ) -> Iterator[str]:
+        min_class = _size_class(need)
+        for size_class in self._groups.irange(minimum=min_class):
+            if size_class[1] < min_class[1] or size_class[2] < min_class[2]:
                 continue
-            group = self._groups[level]
-            # A rounding error must not hide a worker that fits exactly.
+            group = self._groups[size_class]
+            # The tolerance keeps rounding from hiding an exact fit.
             start = group.bisect_left((need.processors - 1e-6, ''))
-            for entry in itertools.islice(group.islice(start), probes):
+            for entry in itertools.islice(group.islice(start), max_candidates):
                 yield entry[1]
 
 
-def _level_of(room: Room) -> _Level:
+def _size_class(free: Room) -> _SizeClass:
     return (
-        max(room.accelerators, 0),
-        _power_of_two(room.processors),
-        _power_of_two(room.memory_bytes),
+        max(free.accelerators, 0),
+        _power_of_two(free.processors),
+        _power_of_two(free.memory_bytes),
     )
 
 
 def _power_of_two(amount: float) -> int:
-    # Rounded up a little, so that sums of fractions stay in one group.
+    # Rounded up slightly, so that rounding errors don't change the group.
     return max(0, math.frexp(amount + 1e-6)[1])
--- a/src/wigeonreach/fleet/_placement_jobs.py
+++ b/src/wigeonreach/fleet/_placement_jobs.py
@@ -1,4 +1,4 @@
-"""Keep the state of each job by its state chart."""
+"""Track the state of each job according to its state chart."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class JobEvent(enum.StrEnum):
-    """Events of the chart that the platform does not tell."""
+    """Events of the chart that don't come from the platform."""
 
     PLACE = 'place'
     CANCEL = 'cancel'
@@ -43,7 +43,7 @@
     MAY_HAVE_RUN = 'may_have_run'
 
 
-# Ends that prove nothing about what a non-idempotent job has done.
+# Ends after which a non-idempotent job may or may not have taken effect.
 _ENDS_WITHOUT_PROOF = frozenset(
     (TaskEnd.FAILED, TaskEnd.STOPPED, JobEvent.LEASE_ENDED),
 )
@@ -59,7 +59,7 @@
 
 @dataclasses.dataclass(slots=True)
 class JobRecord:
-    """One job, where it is and why it is not running."""
+    """State of one job: its worker, or why it is not running."""
 
     job: Job
     state: JobState = JobState.WAITING
@@ -69,24 +69,30 @@
     started_at_s: float = 0.0
     need: Room = NO_ROOM
     reason: Reason | None = None
-    # Until then no more room is made for it: stops take their time.
-    next_room_s: float = 0.0
-
-    def step(self, event: str) -> None:
-        """Go to the next state; raise ``ChartError`` if there is none."""
-        target = self._target(event)
-        if target is None:
+    # No further job is preempted for it earlier, as stopping takes time.
+    next_preemption_s: float = 0.0
+
+    def apply(self, event: str) -> None:
+        """Apply an event to the state.
+
+        Raises
+        ------
+        ChartError
+            If the chart has no transition for the event.
+        """
+        next_state = self._next_state(event)
+        if next_state is None:
             raise ChartError(
                 ResultCode.CHART_NO_TRANSITION,
                 f'{self.job.job_id}: {event} while {self.state}',
             )
-        self.state = JobState(target)
+        self.state = JobState(next_state)
 
     def allows(self, event: str) -> bool:
-        """Whether an event means anything now."""
-        return self._target(event) is not None
+        """Whether the chart has a transition for an event now."""
+        return self._next_state(event) is not None
 
-    def _target(self, event: str) -> str | None:
+    def _next_state(self, event: str) -> str | None:
         if event in _ENDS_WITHOUT_PROOF and not self.job.is_idempotent:
             event = JobEvent.MAY_HAVE_RUN
         return load_chart('job').step(self.state, event)
--- a/src/wigeonreach/fleet/_placement_model.py
+++ b/src/wigeonreach/fleet/_placement_model.py
@@ -1,4 +1,4 @@
-"""Jobs, workers, and the events and effects of placement."""
+"""Jobs and workers, and the events and effects of job placement."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Worker:
-    """One VM or worker of a pool and its whole room."""
+    """A worker of a pool and its total resources."""
 
     name: str
     pool: str
@@ -27,11 +27,15 @@
     Attributes
     ----------
     family
-        Jobs of one team and image; what is learned of one holds for all.
+        Group of jobs of one team and image, which share usage estimates and
+        failure statistics.
+    declared
+        Resources that the team requests for the job.
     can_wait
-        It may be throttled, and stopped after a checkpoint, for other work.
+        Whether the job may be throttled, or checkpointed and stopped, in
+        favour of other work.
     is_idempotent
-        It may be started again where an earlier start may have run.
+        Whether the job may be started again after a start that may have run.
     """
 
     job_id: str
@@ -44,13 +48,13 @@
     is_idempotent: bool = True
 
     @property
-    def gives_way(self) -> bool:
-        """Whether it may be stopped for other work."""
+    def is_preemptible(self) -> bool:
+        """Whether the job may be stopped in favour of other work."""
         return self.can_wait and self.is_idempotent and not self.is_urgent
 
 
 class Reason(enum.StrEnum):
-    """Why a job is not running."""
+    """Reason why a job is not running."""
 
     NO_ROOM = 'no-room'
     QUOTA_USED = 'quota-used'
@@ -65,21 +69,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class JobSubmitted:
-    """A team asks for a job."""
+    """A team submits a job."""
 
     job: Job
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class JobsCancelled:
-    """Teams withdraw jobs, many at once perhaps."""
+    """Teams cancel one or more jobs."""
 
     job_ids: tuple[str, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FoundTask:
-    """A task that was running before this placement began."""
+    """A task that already ran before this placement was started."""
 
     job: Job
     lease_token: int
@@ -87,7 +91,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WorkerJoined:
-    """A worker may be used, for the first time or again."""
+    """A worker is available, for the first time or again."""
 
     worker: Worker
     found: tuple[FoundTask, ...] = ()
@@ -102,21 +106,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WorkerDraining:
-    """A worker is to be emptied and given nothing new."""
+    """A worker is being drained and gets no new jobs."""
 
     name: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WorkerLost:
-    """A worker can't be reached; its jobs may still run until leases end."""
+    """A worker is unreachable; its jobs may run until their leases expire."""
 
     name: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UsageReported:
-    """What a task used at some earlier time."""
+    """Resource usage of a task, measured at an earlier time."""
 
     job_id: str
     lease_token: int
@@ -125,7 +129,7 @@
 
 
 class TaskEnd(enum.StrEnum):
-    """What the platform proved about a task."""
+    """Confirmed state of a task, as reported by the platform."""
 
     STARTED = 'started'
     NOT_STARTED = 'not_started'
@@ -136,7 +140,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TaskChanged:
-    """The platform tells of one task under one lease."""
+    """The platform reports the state of one task under one lease."""
 
     job_id: str
     lease_token: int
@@ -145,7 +149,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Tick:
-    """Time passed."""
+    """Time has passed."""
 
 
 Event: TypeAlias = (
@@ -173,7 +177,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StopTask:
-    """Stop a job, after a checkpoint if it can."""
+    """Stop a job, after a checkpoint if ``with_checkpoint`` is set."""
 
     job_id: str
     worker: str
@@ -183,7 +187,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ThrottleTask:
-    """Let a job use this part of its processors; 1 is all of them."""
+    """Limit a job to this ratio of its processors; 1 lifts the limit."""
 
     job_id: str
     worker: str
@@ -193,7 +197,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SetAside:
-    """Try a job no more."""
+    """Give up on a job that can't be run."""
 
     job_id: str
     reason: Reason
@@ -201,7 +205,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReportRun:
-    """Tell a person of a non-idempotent job that may have run."""
+    """Report a non-idempotent job that may have run to an operator."""
 
     job_id: str
     worker: str
--- a/src/wigeonreach/fleet/_placement_pool.py
+++ b/src/wigeonreach/fleet/_placement_pool.py
@@ -1,4 +1,4 @@
-"""Account for the room of one pool's workers."""
+"""Account for the resources of one pool's workers."""
 
 from __future__ import annotations
 
@@ -7,56 +7,56 @@
 from collections.abc import Container, Iterator
 
 from wigeonreach._room import NO_ROOM, Room
-from wigeonreach.fleet._placement_index import RoomIndex
+from wigeonreach.fleet._placement_index import ResourceIndex
 from wigeonreach.fleet._placement_model import Job, Worker
 
 
-class Closed(enum.StrEnum):
-    """Why a worker gets nothing new."""
+class CloseReason(enum.StrEnum):
+    """Reason why a worker gets no new jobs."""
 
     DRAINING = 'draining'
     LOST = 'lost'
     QUARANTINE = 'quarantine'
 
 
-# A throttled job keeps this part of its processors.
+# Ratio of its processors that a throttled job keeps.
 THROTTLE_RATIO = 0.25
-# Workers that go down together are found lost within the ten seconds after which
-# silence is noticed.
-_TOGETHER_S = 10.0
+# Workers that fail together are reported lost within this time, because a
+# silent worker is noticed after ten seconds.
+_SAME_FAILURE_S = 10.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Tenant:
-    """What one job takes of its worker."""
+class Allocation:
+    """Resources of a worker that are allocated to one job."""
 
     job_id: str
     need: Room
-    gives_way: bool
+    is_preemptible: bool
     ratio: float = 1.0
 
     @property
-    def taken(self) -> Room:
-        """The room that counts as used."""
+    def allocated(self) -> Room:
+        """Resources that count as used."""
         return self.need.scaled(self.ratio, 1)
 
     @property
     def throttleable(self) -> Room:
-        """The room that throttling it would free."""
-        if not self.gives_way:
+        """Resources that throttling the job would free."""
+        if not self.is_preemptible:
             return NO_ROOM
         freed = max(0, self.ratio - THROTTLE_RATIO)
         return Room(self.need.processors * freed, 0)
 
     @property
     def stoppable(self) -> Room:
-        """The room that stopping it would free."""
-        return self.taken if self.gives_way else NO_ROOM
+        """Resources that stopping the job would free."""
+        return self.allocated if self.is_preemptible else NO_ROOM
 
 
 @dataclasses.dataclass(slots=True)
 class WorkerState:
-    """A worker, its jobs and what is free on it."""
+    """A worker with its jobs and its used and reclaimable resources."""
 
     worker: Worker
     heard_s: float = 0.0
@@ -64,62 +64,62 @@
     used: Room = NO_ROOM
     throttleable: Room = NO_ROOM
     stoppable: Room = NO_ROOM
-    tenants: dict[str, Tenant] = dataclasses.field(default_factory=dict)
-    closed: set[Closed] = dataclasses.field(default_factory=set)
+    allocations: dict[str, Allocation] = dataclasses.field(default_factory=dict)
+    closed: set[CloseReason] = dataclasses.field(default_factory=set)
 
     @property
     def free(self) -> Room:
-        """What nobody uses; below zero if a job grew past what is there."""
+        """Unused resources; negative if the worker is overcommitted."""
         return self.worker.room - self.used
 
-    def add(self, tenant: Tenant) -> None:
-        """Count a job in."""
-        self.tenants[tenant.job_id] = tenant
-        self.used += tenant.taken
-        self.throttleable += tenant.throttleable
-        self.stoppable += tenant.stoppable
-
-    def drop(self, job_id: str) -> None:
-        """Count a job out, if it is there."""
-        tenant = self.tenants.pop(job_id, None)
-        if tenant is None:
+    def add(self, allocation: Allocation) -> None:
+        """Add a job's allocation."""
+        self.allocations[allocation.job_id] = allocation
+        self.used += allocation.allocated
+        self.throttleable += allocation.throttleable
+        self.stoppable += allocation.stoppable
+
+    def remove(self, job_id: str) -> None:
+        """Remove a job's allocation, if there is one."""
+        allocation = self.allocations.pop(job_id, None)
+        if allocation is None:
             return
-        if not self.tenants:
-            # Sums of fractions must not leave an empty worker in use.
+        if not self.allocations:
+            # Rounding errors must not leave an empty worker partly used.
             self.used = NO_ROOM
             self.throttleable = NO_ROOM
             self.stoppable = NO_ROOM
             return
-        self.used -= tenant.taken
-        self.throttleable -= tenant.throttleable
-        self.stoppable -= tenant.stoppable
+        self.used -= allocation.allocated
+        self.throttleable -= allocation.throttleable
+        self.stoppable -= allocation.stoppable
 
 
-class PoolRooms:
-    """Workers of one pool, found by the room that they have or can make.
+class PoolWorkers:
+    """Workers of one pool, indexed by free and reclaimable resources.
 
     Parameters
     ----------
     held_ratio
-        Part of each worker's processors that only urgent work, and work that
-        gives way to it, may use.
+        Ratio of each worker's processors that only urgent jobs, and jobs
+        preemptible in their favour, may use.
     """
 
     def __init__(self, held_ratio: float) -> None:
-        """Start without a worker."""
+        """Start without workers."""
         self._held_ratio = held_ratio
         self._workers: dict[str, WorkerState] = {}
-        self._ordinary = RoomIndex()
-        self._free = RoomIndex()
-        self._throttled = RoomIndex()
-        self._stopped = RoomIndex()
-        self._whole = RoomIndex()
+        self._ordinary = ResourceIndex()
+        self._free = ResourceIndex()
+        self._after_throttling = ResourceIndex()
+        self._after_stopping = ResourceIndex()
+        self._total = ResourceIndex()
         self._indexes = (
             self._ordinary,
             self._free,
-            self._throttled,
-            self._stopped,
-            self._whole,
+            self._after_throttling,
+            self._after_stopping,
+            self._total,
         )
 
     def __len__(self) -> int:
@@ -127,68 +127,68 @@
         return len(self._workers)
 
     def __contains__(self, name: str) -> bool:
-        """Whether a worker is of this pool."""
+        """Whether a worker belongs to this pool."""
         return name in self._workers
 
     def state(self, name: str) -> WorkerState:
-        """Return a worker's state."""
+        """Return the state of a worker."""
         return self._workers[name]
 
     def states(self) -> Iterator[WorkerState]:
         """Yield the state of each worker."""
         yield from self._workers.values()
 
-    def lose(self, name: str, now_s: float) -> None:
-        """Give a worker that fell silent nothing new."""
+    def mark_lost(self, name: str, now_s: float) -> None:
+        """Mark a silent worker as lost and close it to new jobs."""
         self._workers[name].lost_s = now_s
-        self.close(name, Closed.LOST)
+        self.close(name, CloseReason.LOST)
 
-    def lost_with_rack(self, name: str) -> bool:
-        """Whether others of a lost worker's rack were lost about when it was."""
+    def lost_with_rack_peers(self, name: str) -> bool:
+        """Whether other workers of its rack were lost at about the time."""
         lost = self._workers[name]
         return any(
             other.worker.rack == lost.worker.rack
-            and abs(other.lost_s - lost.lost_s) <= _TOGETHER_S
+            and abs(other.lost_s - lost.lost_s) <= _SAME_FAILURE_S
             for other in self._workers.values()
             if other is not lost
         )
 
     def join(self, worker: Worker) -> None:
-        """Add a worker, or open it again; its jobs stay counted."""
+        """Add a worker, or reopen a known one and keep its allocations."""
         state = self._workers.setdefault(worker.name, WorkerState(worker))
         state.worker = worker
         state.closed.clear()
         self._refresh(state)
 
     def leave(self, name: str) -> None:
-        """Forget a worker that now is of another pool."""
+        """Remove a worker that has moved to another pool."""
         self._workers.pop(name)
         for index in self._indexes:
             index.remove(name)
 
-    def close(self, name: str, reason: Closed) -> None:
-        """Give a worker nothing new until this reason is gone."""
+    def close(self, name: str, reason: CloseReason) -> None:
+        """Close a worker to new jobs until this reason is removed."""
         state = self._workers[name]
         state.closed.add(reason)
         self._refresh(state)
 
-    def open(self, name: str, reason: Closed) -> None:
-        """Take one reason away; the worker may be closed for another."""
+    def open(self, name: str, reason: CloseReason) -> None:
+        """Remove one reason; the worker may stay closed for another."""
         state = self._workers[name]
         state.closed.discard(reason)
         self._refresh(state)
 
-    def take(self, name: str, tenant: Tenant) -> None:
-        """Count a job on a worker, in place of what it counted before."""
+    def allocate(self, name: str, allocation: Allocation) -> None:
+        """Set the allocation of a job on a worker, replacing an earlier one."""
         state = self._workers[name]
-        state.drop(tenant.job_id)
-        state.add(tenant)
+        state.remove(allocation.job_id)
+        state.add(allocation)
         self._refresh(state)
 
-    def give_back(self, name: str, job_id: str) -> None:
-        """Count a job out."""
+    def release(self, name: str, job_id: str) -> None:
+        """Release the allocation of a job."""
         state = self._workers[name]
-        state.drop(job_id)
+        state.remove(job_id)
         self._refresh(state)
 
     def find_free(
@@ -196,13 +196,13 @@
         job: Job,
         need: Room,
         excluded: Container[str],
-        probes: int | None,
+        max_candidates: int | None,
     ) -> str | None:
-        """Return a worker on which a job fits now."""
+        """Return a worker with enough free resources for a job."""
         index = self._free if job.is_urgent else self._ordinary
-        found = index.find(need, excluded, probes)
-        if found is None and job.gives_way:
-            return self._free.find(need, excluded, probes)
+        found = index.find(need, excluded, max_candidates)
+        if found is None and job.is_preemptible:
+            return self._free.find(need, excluded, max_candidates)
         return found
 
     def find_throttled(
@@ -210,30 +210,32 @@
         need: Room,
         excluded: Container[str],
     ) -> str | None:
-        """Return a worker on which a job fits once others are throttled."""
-        return self._throttled.find(need, excluded)
+        """Return a worker on which a need fits once jobs are throttled."""
+        return self._after_throttling.find(need, excluded)
 
     def find_stopped(self, need: Room, excluded: Container[str]) -> str | None:
-        """Return a worker on which a job fits once others are stopped."""
-        return self._stopped.find(need, excluded)
+        """Return a worker on which a need fits once jobs are stopped."""
+        return self._after_stopping.find(need, excluded)
 
-    def largest_for(self, need: Room) -> Room | None:
-        """Return the whole room of a worker that could hold a need."""
-        name = self._whole.find(need, (), None)
+    def find_total(self, need: Room) -> Room | None:
+        """Return the total resources of a worker that could hold a need."""
+        name = self._total.find(need, (), None)
         return None if name is None else self._workers[name].worker.room
 
     def _refresh(self, state: WorkerState) -> None:
         name = state.worker.name
         room = state.worker.room
-        self._whole.put(name, room)
+        self._total.put(name, room)
         free = state.free
         held = room.scaled(self._held_ratio, 0)
         self._put(self._ordinary, state, free - Room(held.processors, 0))
         self._put(self._free, state, free)
-        self._put(self._throttled, state, free + state.throttleable)
-        self._put(self._stopped, state, free + state.stoppable)
+        self._put(self._after_throttling, state, free + state.throttleable)
+        self._put(self._after_stopping, state, free + state.stoppable)
 
-    def _put(self, index: RoomIndex, state: WorkerState, room: Room) -> None:
+    def _put(
+        self, index: ResourceIndex, state: WorkerState, room: Room
+    ) -> None:
         if state.closed or not room.holds(NO_ROOM):
             index.remove(state.worker.name)
         else:
--- a/src/wigeonreach/fleet/_placement_pools.py
+++ b/src/wigeonreach/fleet/_placement_pools.py
@@ -1,26 +1,26 @@
-"""Keep the pools of a placement and which one each worker is of."""
+"""Registry of the pools of a placement and of the pool of each worker."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping
 
-from wigeonreach.fleet._learning import Learner
+from wigeonreach.fleet._learning import UsageEstimator
 from wigeonreach.fleet._placement_jobs import JobRecord
-from wigeonreach.fleet._placement_queue import PoolQueue
+from wigeonreach.fleet._placement_queue import PoolScheduler
 from wigeonreach.fleet._quarantine import Quarantine
 
 
 class Pools:
-    """Pools by name, made when they are first asked for.
+    """Pools by name, created on first access.
 
     Parameters
     ----------
-    jobs, learner, quarantine
-        What all pools share.
+    jobs, estimator, quarantine
+        Jobs by id, usage estimates and failure records, shared by all pools.
     quotas
         Processors by team.
     held_ratio
-        Part of each worker's processors that is held for urgent work.
+        Ratio of each worker's processors that is reserved for urgent jobs.
     """
 
     def __init__(
@@ -28,47 +28,47 @@
         jobs: Mapping[str, JobRecord],
         quotas: Mapping[str, float],
         held_ratio: float,
-        learner: Learner,
+        estimator: UsageEstimator,
         quarantine: Quarantine,
     ) -> None:
         """Start without pools."""
         self._jobs = jobs
         self._quotas = dict(quotas)
         self._held_ratio = held_ratio
-        self._learner = learner
+        self._estimator = estimator
         self._quarantine = quarantine
-        self._pools: dict[str, PoolQueue] = {}
+        self._pools: dict[str, PoolScheduler] = {}
         self._pool_of_worker: dict[str, str] = {}
 
-    def get(self, name: str) -> PoolQueue:
-        """Return a pool by name."""
+    def get(self, name: str) -> PoolScheduler:
+        """Return a pool by name, creating it if necessary."""
         found = self._pools.get(name)
         if found is None:
-            found = PoolQueue(
+            found = PoolScheduler(
                 self._jobs,
                 self._quotas,
                 self._held_ratio,
-                self._learner,
+                self._estimator,
                 self._quarantine,
             )
             self._pools[name] = found
         return found
 
-    def all(self) -> Iterable[PoolQueue]:
-        """Return every pool."""
+    def all(self) -> Iterable[PoolScheduler]:
+        """Return all pools."""
         return self._pools.values()
 
-    def of_worker(self, worker: str) -> PoolQueue | None:
+    def of_worker(self, worker: str) -> PoolScheduler | None:
         """Return the pool of a worker, if the worker is known."""
         name = self._pool_of_worker.get(worker)
         return None if name is None else self._pools[name]
 
     def assign(self, worker: str, pool: str) -> None:
-        """Note of which pool a worker is."""
+        """Record the pool of a worker."""
         self._pool_of_worker[worker] = pool
 
     def change_quotas(self, quotas: Mapping[str, float]) -> None:
-        """Take new quotas, by team."""
+        """Replace the quotas, in processors by team."""
         self._quotas = dict(quotas)
         for pool in self._pools.values():
-            pool.quota.change(quotas)
+            pool.quota.replace_quotas(quotas)
--- a/src/wigeonreach/fleet/_placement_queue.py
+++ b/src/wigeonreach/fleet/_placement_queue.py
@@ -1,4 +1,4 @@
-"""Offer a pool's free room to its waiting jobs."""
+"""Schedule the waiting jobs of a pool on its workers."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from collections.abc import Mapping
 
 from wigeonreach._room import NO_ROOM, Room
-from wigeonreach.fleet._learning import Learner
+from wigeonreach.fleet._learning import UsageEstimator
 from wigeonreach.fleet._placement_jobs import JobEvent, JobRecord
 from wigeonreach.fleet._placement_model import (
     Effect,
@@ -15,38 +15,42 @@
     StartTask,
     TaskEnd,
 )
-from wigeonreach.fleet._placement_pool import Closed, PoolRooms, Tenant
+from wigeonreach.fleet._placement_pool import (
+    CloseReason,
+    PoolWorkers,
+    Allocation,
+)
 from wigeonreach.fleet._placement_yield import RoomMaker
 from wigeonreach.fleet._quarantine import Quarantine
-from wigeonreach.fleet._quota import QuotaBook
+from wigeonreach.fleet._quota import QuotaTracker
 
-_PROBES = 16
-# Bounds on the work of one event: jobs started, and jobs tried in vain.
+_MAX_CANDIDATES = 16
+# Bounds on the cost of one event: jobs started, and jobs tried in one go.
 _STARTS_PER_EVENT = 32
 _TRIES_PER_EVENT = 8
-# How long a checkpoint and a stop may take before room is made elsewhere.
-_ROOM_WAIT_S = 5.0
+# Time that a checkpoint and a stop may take before another job is preempted.
+_PREEMPTION_WAIT_S = 5.0
 
 
 @dataclasses.dataclass(slots=True)
-class Offer:
-    """One offer of a pool's room and what it led to."""
+class SchedulingCycle:
+    """State of one scheduling cycle and its effects so far."""
 
     now_s: float
     lease_ends_s: float
     next_token: int
-    is_thorough: bool
+    is_exhaustive: bool
     effects: list[Effect] = dataclasses.field(default_factory=list)
-    never_fitting: list[JobRecord] = dataclasses.field(default_factory=list)
+    unplaceable: list[JobRecord] = dataclasses.field(default_factory=list)
 
     @property
-    def probes(self) -> int | None:
-        """How many workers of each group to look at."""
-        return None if self.is_thorough else _PROBES
+    def max_candidates(self) -> int | None:
+        """Number of workers to examine in each group; all if ``None``."""
+        return None if self.is_exhaustive else _MAX_CANDIDATES
 
 
-class PoolQueue:
-    """One pool: its workers' room and the jobs that wait for it.
+class PoolScheduler:
+    """Scheduler of one pool: its workers and its waiting jobs.
 
     Parameters
     ----------
@@ -55,9 +59,9 @@
     quotas
         Processors by team.
     held_ratio
-        Part of each worker's processors that is held for urgent work.
-    learner, quarantine
-        What was learned of jobs and workers, shared with the owner.
+        Ratio of each worker's processors that is reserved for urgent jobs.
+    estimator, quarantine
+        Usage estimates and failure records, shared with the owner.
     """
 
     def __init__(
@@ -65,188 +69,202 @@
         jobs: Mapping[str, JobRecord],
         quotas: Mapping[str, float],
         held_ratio: float,
-        learner: Learner,
+        estimator: UsageEstimator,
         quarantine: Quarantine,
     ) -> None:
-        """Start without workers and waiting jobs."""
-        self.rooms = PoolRooms(held_ratio)
-        self.quota = QuotaBook(quotas)
-        self.maker = RoomMaker(self.rooms, self.quota, jobs)
+        """Start without workers or waiting jobs."""
+        self.workers = PoolWorkers(held_ratio)
+        self.quota = QuotaTracker(quotas)
+        self.preemptor = RoomMaker(self.workers, self.quota, jobs)
         self._jobs = jobs
-        self._learner = learner
+        self._estimator = estimator
         self._quarantine = quarantine
         self._urgent: collections.OrderedDict[str, None] = (
             collections.OrderedDict()
         )
 
     def never_fits(self, record: JobRecord) -> bool:
-        """Whether no worker could hold even the least credible need.
+        """Whether a job's lowest plausible usage exceeds every worker.
 
-        A pool without workers says nothing about a job.
+        Always false for a pool without workers.
         """
-        if not len(self.rooms):
+        if not len(self.workers):
             return False
-        least = self._learner.least(record.job)
-        return self.rooms.largest_for(least) is None
+        lowest = self._estimator.min_estimate(record.job)
+        return self.workers.find_total(lowest) is None
 
     def enqueue(self, record: JobRecord, *, is_first: bool = False) -> None:
-        """Let a job wait."""
+        """Add a job to the waiting jobs."""
         record.reason = record.reason or Reason.NO_ROOM
         job = record.job
         if job.is_urgent:
             self._urgent[job.job_id] = None
         else:
-            self.quota.wait(job.team, job.job_id, is_first=is_first)
+            self.quota.enqueue(job.team, job.job_id, is_first=is_first)
 
     def dequeue(self, record: JobRecord) -> None:
-        """Let a job wait no more."""
+        """Remove a job from the waiting jobs."""
         job = record.job
         self._urgent.pop(job.job_id, None)
-        self.quota.leave(job.team, job.job_id)
+        self.quota.dequeue(job.team, job.job_id)
 
     def release(self, record: JobRecord) -> None:
-        """Give the room of a job back."""
+        """Release the resources of a job."""
         if not record.worker:
             return
         job = record.job
-        self.rooms.give_back(record.worker, job.job_id)
-        self.quota.use(job.team, -record.need.processors)
-        self.quota.yields(job.team, job.job_id, is_running=False)
+        self.workers.release(record.worker, job.job_id)
+        self.quota.add_usage(job.team, -record.need.processors)
+        self.quota.mark_preemptible(job.team, job.job_id, is_running=False)
         record.worker = ''
         record.need = NO_ROOM
 
     def adopt(self, record: JobRecord, worker: str, lease_token: int) -> None:
-        """Count a job that runs already."""
+        """Account for a job that already runs on a worker."""
         job = record.job
-        record.step(JobEvent.PLACE)
-        record.step(TaskEnd.STARTED)
+        record.apply(JobEvent.PLACE)
+        record.apply(TaskEnd.STARTED)
         record.worker = worker
         record.lease_token = lease_token
         record.need = job.declared
-        self.rooms.take(worker, Tenant(job.job_id, record.need, job.gives_way))
-        self.quota.use(job.team, record.need.processors)
+        self.workers.allocate(
+            worker, Allocation(job.job_id, record.need, job.is_preemptible)
+        )
+        self.quota.add_usage(job.team, record.need.processors)
 
     def resize(self, record: JobRecord, need: Room) -> list[Effect]:
-        """Count a running job by what it was seen to need."""
-        if record.worker not in self.rooms:
+        """Change the allocation of a running job to its observed need."""
+        if record.worker not in self.workers:
             return []
         job = record.job
-        tenant = self.rooms.state(record.worker).tenants[job.job_id]
-        self.quota.use(job.team, need.processors - record.need.processors)
+        allocation = self.workers.state(record.worker).allocations[job.job_id]
+        self.quota.add_usage(job.team, need.processors - record.need.processors)
         record.need = need
-        self.rooms.take(
+        self.workers.allocate(
             record.worker,
-            dataclasses.replace(tenant, need=need),
+            dataclasses.replace(allocation, need=need),
         )
-        return self.maker.relieve(record.worker)
+        return self.preemptor.throttle_overloaded(record.worker)
 
-    def offer(self, offer: Offer) -> None:
-        """Start waiting jobs while there is room.
+    def schedule(self, cycle: SchedulingCycle) -> None:
+        """Start waiting jobs while they fit.
 
         Parameters
         ----------
-        offer
-            The time and the next lease; effects are added to it.
+        cycle
+            Time and lease of this cycle; effects are added to it.
         """
         for job_id in list(self._urgent)[:_TRIES_PER_EVENT]:
-            self._try_urgent(self._jobs[job_id], offer)
+            self._try_start_urgent(self._jobs[job_id], cycle)
         for _ in range(_STARTS_PER_EVENT):
-            heads = self.quota.heads(_TRIES_PER_EVENT)
-            if not any(self._try(self._jobs[head], offer) for head in heads):
+            heads = self.quota.first_waiting(_TRIES_PER_EVENT)
+            if not any(
+                self._try_start(self._jobs[head], cycle) for head in heads
+            ):
                 break
 
-    def _try(self, record: JobRecord, offer: Offer) -> bool:
-        if self._start_free(record, offer):
+    def _try_start(self, record: JobRecord, cycle: SchedulingCycle) -> bool:
+        if self._start_if_free(record, cycle):
             return True
-        if offer.is_thorough and self.never_fits(record):
-            offer.never_fitting.append(record)
+        if cycle.is_exhaustive and self.never_fits(record):
+            cycle.unplaceable.append(record)
             self.dequeue(record)
-        elif self._may_reclaim(record, offer):
-            self._note_room(
+        elif self._may_reclaim(record, cycle):
+            self._add_stops(
                 record,
-                offer,
-                self.maker.reclaim(self._need(record)),
+                cycle,
+                self.preemptor.reclaim(self._estimate_need(record)),
             )
         return False
 
-    def _try_urgent(self, record: JobRecord, offer: Offer) -> None:
-        if self._start_free(record, offer):
+    def _try_start_urgent(
+        self, record: JobRecord, cycle: SchedulingCycle
+    ) -> None:
+        if self._start_if_free(record, cycle):
             return
-        need = self._need(record)
+        need = self._estimate_need(record)
         excluded = self._quarantine.failed_on(record.job.job_id)
-        worker, throttled = self.maker.throttle_for(need, excluded)
-        offer.effects.extend(throttled)
+        worker, throttled = self.preemptor.throttle_for(need, excluded)
+        cycle.effects.extend(throttled)
         if worker is not None:
-            self._start(record, worker, need, offer)
-        elif record.next_room_s <= offer.now_s:
-            self._note_room(
+            self._start(record, worker, need, cycle)
+        elif record.next_preemption_s <= cycle.now_s:
+            self._add_stops(
                 record,
-                offer,
-                self.maker.stop_for(need, excluded),
+                cycle,
+                self.preemptor.stop_for(need, excluded),
             )
 
-    def _may_reclaim(self, record: JobRecord, offer: Offer) -> bool:
-        if record.next_room_s > offer.now_s:
+    def _may_reclaim(self, record: JobRecord, cycle: SchedulingCycle) -> bool:
+        if record.next_preemption_s > cycle.now_s:
             return False
-        return self.quota.share(record.job.team) < 1
+        return self.quota.usage_ratio(record.job.team) < 1
 
-    def _note_room(
+    def _add_stops(
         self,
         record: JobRecord,
-        offer: Offer,
+        cycle: SchedulingCycle,
         stops: list[Effect],
     ) -> None:
-        offer.effects.extend(stops)
+        cycle.effects.extend(stops)
         if stops:
-            record.next_room_s = offer.now_s + _ROOM_WAIT_S
+            record.next_preemption_s = cycle.now_s + _PREEMPTION_WAIT_S
 
-    def _start_free(self, record: JobRecord, offer: Offer) -> bool:
-        need = self._need(record)
-        worker = self.rooms.find_free(
+    def _start_if_free(self, record: JobRecord, cycle: SchedulingCycle) -> bool:
+        need = self._estimate_need(record)
+        worker = self.workers.find_free(
             record.job,
             need,
             self._quarantine.failed_on(record.job.job_id),
-            offer.probes,
+            cycle.max_candidates,
         )
         if worker is None:
             return False
-        self._start(record, worker, need, offer)
+        self._start(record, worker, need, cycle)
         return True
 
-    def _need(self, record: JobRecord) -> Room:
-        """Return what to hold for a job that may be declared too large."""
-        expected = self._learner.expect(record.job)
-        if self.rooms.largest_for(expected) is not None:
+    def _estimate_need(self, record: JobRecord) -> Room:
+        """Return the resources to allocate to a job.
+
+        A job whose estimate exceeds every worker gets a whole worker, if its
+        lowest plausible usage fits, as its declared size may be overstated.
+        """
+        expected = self._estimator.estimate(record.job)
+        if self.workers.find_total(expected) is not None:
             return expected
-        least = self._learner.least(record.job)
-        return self.rooms.largest_for(least) or expected
+        lowest = self._estimator.min_estimate(record.job)
+        return self.workers.find_total(lowest) or expected
 
     def _start(
         self,
         record: JobRecord,
         worker: str,
         need: Room,
-        offer: Offer,
+        cycle: SchedulingCycle,
     ) -> None:
         job = record.job
         self.dequeue(record)
-        record.step(JobEvent.PLACE)
+        record.apply(JobEvent.PLACE)
         record.worker = worker
         record.need = need
         record.reason = None
-        record.next_room_s = 0
-        record.lease_token = offer.next_token
-        record.lease_ends_s = offer.lease_ends_s
-        # Nothing measured before this time can be of this start.
-        record.started_at_s = offer.now_s
-        offer.next_token += 1
-        self.rooms.take(worker, Tenant(job.job_id, need, job.gives_way))
-        self.quota.use(job.team, need.processors)
-        self.quota.yields(job.team, job.job_id, is_running=job.gives_way)
-        if self._quarantine.is_resting(worker):
-            # A worker in quarantine is probed by one job at a time.
-            self.rooms.close(worker, Closed.QUARANTINE)
-        offer.effects.append(
+        record.next_preemption_s = 0
+        record.lease_token = cycle.next_token
+        record.lease_ends_s = cycle.lease_ends_s
+        # Usage measured before this time belongs to an earlier start.
+        record.started_at_s = cycle.now_s
+        cycle.next_token += 1
+        self.workers.allocate(
+            worker, Allocation(job.job_id, need, job.is_preemptible)
+        )
+        self.quota.add_usage(job.team, need.processors)
+        self.quota.mark_preemptible(
+            job.team, job.job_id, is_running=job.is_preemptible
+        )
+        if self._quarantine.is_quarantined(worker):
+            # A quarantined worker is probed with one job at a time.
+            self.workers.close(worker, CloseReason.QUARANTINE)
+        cycle.effects.append(
             StartTask(
                 job.job_id,
                 worker,
--- a/src/wigeonreach/fleet/_placement_yield.py
+++ b/src/wigeonreach/fleet/_placement_yield.py
@@ -1,4 +1,4 @@
-"""Make room for work that must not wait."""
+"""Free resources for urgent jobs and for teams below their quota."""
 
 from __future__ import annotations
 
@@ -15,30 +15,30 @@
 )
 from wigeonreach.fleet._placement_pool import (
     THROTTLE_RATIO,
-    PoolRooms,
-    Tenant,
+    PoolWorkers,
+    Allocation,
 )
-from wigeonreach.fleet._quota import QuotaBook
+from wigeonreach.fleet._quota import QuotaTracker
 
-_BORROWERS_TRIED = 8
+_MAX_BORROWERS = 8
 
 
 class RoomMaker:
-    """Throttle, or checkpoint and stop, work that can wait.
+    """Throttle, or checkpoint and stop, jobs that can wait.
 
     Parameters
     ----------
     rooms, quota, jobs
-        The pool's workers, its teams' shares and all jobs by id.
+        The pool's workers, the quotas of its teams and all jobs by id.
     """
 
     def __init__(
         self,
-        rooms: PoolRooms,
-        quota: QuotaBook,
+        rooms: PoolWorkers,
+        quota: QuotaTracker,
         jobs: Mapping[str, JobRecord],
     ) -> None:
-        """Share the pool's state."""
+        """Keep references to the pool's state."""
         self._rooms = rooms
         self._quota = quota
         self._jobs = jobs
@@ -48,12 +48,12 @@
         need: Room,
         excluded: Container[str],
     ) -> tuple[str | None, list[Effect]]:
-        """Throttle jobs of one worker so that a need fits at once.
+        """Throttle jobs of one worker so that a need fits immediately.
 
         Returns
         -------
         tuple
-            The worker, or nothing if there is none, and the throttling.
+            The worker, or ``None`` if there is none, and the effects.
         """
         worker = self._rooms.find_throttled(need, excluded)
         if worker is None:
@@ -67,19 +67,19 @@
             return []
         effects: list[Effect] = []
         state = self._rooms.state(worker)
-        coming = state.free
-        for tenant in tuple(state.tenants.values()):
-            if coming.holds(need):
+        expected_free = state.free
+        for allocation in tuple(state.allocations.values()):
+            if expected_free.holds(need):
                 break
-            record = self._jobs[tenant.job_id]
-            if tenant.gives_way and record.state is JobState.RUNNING:
-                coming += tenant.taken
+            record = self._jobs[allocation.job_id]
+            if allocation.is_preemptible and record.state is JobState.RUNNING:
+                expected_free += allocation.allocated
                 effects.append(self.stop(record, Reason.GAVE_WAY))
         return effects
 
     def reclaim(self, need: Room) -> list[Effect]:
         """Stop one job of a team above its quota, so that a need will fit."""
-        for job_id in self._quota.borrowed_jobs(_BORROWERS_TRIED):
+        for job_id in self._quota.borrowed_jobs(_MAX_BORROWERS):
             borrower = self._jobs[job_id]
             if borrower.state is not JobState.RUNNING:
                 continue
@@ -89,16 +89,16 @@
         return []
 
     def stop(self, record: JobRecord, reason: Reason) -> StopTask:
-        """Stop a running job that gives way, after a checkpoint."""
-        record.step(JobEvent.STOP)
+        """Checkpoint and stop a running preemptible job."""
+        record.apply(JobEvent.STOP)
         record.reason = reason
         job = record.job
-        self._quota.yields(job.team, job.job_id, is_running=False)
-        tenant = self._rooms.state(record.worker).tenants[job.job_id]
-        # What is stopping already can't be stopped for someone else.
-        self._rooms.take(
+        self._quota.mark_preemptible(job.team, job.job_id, is_running=False)
+        allocation = self._rooms.state(record.worker).allocations[job.job_id]
+        # A job that is already stopping can't be preempted again.
+        self._rooms.allocate(
             record.worker,
-            dataclasses.replace(tenant, gives_way=False),
+            dataclasses.replace(allocation, is_preemptible=False),
         )
         return StopTask(
             job.job_id,
@@ -107,42 +107,44 @@
             with_checkpoint=True,
         )
 
-    def relieve(self, worker: str) -> list[Effect]:
-        """Throttle work that can wait on a worker that grew too full."""
+    def throttle_overloaded(self, worker: str) -> list[Effect]:
+        """Throttle preemptible jobs if a worker's processors are exceeded."""
         if self._rooms.state(worker).free.processors >= 0:
             return []
         return self._throttle(worker, NO_ROOM)
 
-    def restore(self, worker: str) -> list[Effect]:
-        """Give throttled jobs of a worker their processors back."""
+    def lift_throttling(self, worker: str) -> list[Effect]:
+        """Lift the throttling of a worker's jobs as far as they fit."""
         if worker not in self._rooms:
             return []
         state = self._rooms.state(worker)
         effects: list[Effect] = []
-        for tenant in tuple(state.tenants.values()):
-            lacking = tenant.need.processors * (1 - tenant.ratio)
-            if 0 < lacking <= state.free.processors:
-                effects.append(self._set_ratio(tenant, 1))
+        for allocation in tuple(state.allocations.values()):
+            missing_processors = allocation.need.processors * (
+                1 - allocation.ratio
+            )
+            if 0 < missing_processors <= state.free.processors:
+                effects.append(self._set_ratio(allocation, 1))
         return effects
 
     def _throttle(self, worker: str, need: Room) -> list[Effect]:
         effects: list[Effect] = []
         state = self._rooms.state(worker)
-        for tenant in tuple(state.tenants.values()):
+        for allocation in tuple(state.allocations.values()):
             if state.free.holds(need):
                 break
-            if tenant.throttleable.processors > 0:
-                effects.append(self._set_ratio(tenant, THROTTLE_RATIO))
+            if allocation.throttleable.processors > 0:
+                effects.append(self._set_ratio(allocation, THROTTLE_RATIO))
         return effects
 
-    def _set_ratio(self, tenant: Tenant, ratio: float) -> ThrottleTask:
-        record = self._jobs[tenant.job_id]
-        self._rooms.take(
+    def _set_ratio(self, allocation: Allocation, ratio: float) -> ThrottleTask:
+        record = self._jobs[allocation.job_id]
+        self._rooms.allocate(
             record.worker,
-            dataclasses.replace(tenant, ratio=ratio),
+            dataclasses.replace(allocation, ratio=ratio),
         )
         return ThrottleTask(
-            tenant.job_id,
+            allocation.job_id,
             record.worker,
             record.lease_token,
             ratio,
--- a/src/wigeonreach/fleet/_quarantine.py
+++ b/src/wigeonreach/fleet/_quarantine.py
@@ -1,4 +1,4 @@
-"""Tell a bad worker from a bad job by who fails where."""
+"""Distinguish faulty workers from faulty jobs by where failures occur."""
 
 from __future__ import annotations
 
@@ -6,39 +6,39 @@
 import dataclasses
 import math
 
-_SUSPECT_EVIDENCE = 1.5
-_BAD_JOB_WORKERS = 3
-_FIRST_REST_S = 60.0
-_LONGEST_REST_S = 3600.0
+_QUARANTINE_EVIDENCE = 1.5
+_FAULTY_JOB_WORKERS = 3
+_FIRST_QUARANTINE_S = 60.0
+_MAX_QUARANTINE_S = 3600.0
 _DEFAULT_CAP_RATIO = 0.1
 
 
 @dataclasses.dataclass(slots=True)
-class _Tally:
+class _FamilyOutcomes:
     finished: int = 0
     failed: int = 0
 
 
 @dataclasses.dataclass(slots=True)
 class _WorkerRecord:
-    """What happened on a worker since its last success."""
+    """Failures of a worker since its last success."""
 
     evidence: float = 0.0
     failed_families: collections.Counter[str] = dataclasses.field(
         default_factory=collections.Counter,
     )
-    rests: int = 0
+    quarantines: int = 0
     ends_s: float = 0.0
-    is_resting: bool = False
+    is_quarantined: bool = False
     is_probed: bool = False
 
 
 class Quarantine:
-    """Workers that fail what runs well elsewhere.
+    """Quarantine of workers whose jobs fail there but succeed elsewhere.
 
-    A failure counts against a worker by how often jobs of the same family
-    succeed on other workers.  A family that fails everywhere therefore counts
-    for next to nothing, and the share of a pool that may rest is capped.
+    A failure is weighted by how often jobs of the same family succeed on
+    other workers.  A family that fails everywhere therefore adds almost no
+    evidence against a worker.  The share of a pool in quarantine is capped.
 
     Parameters
     ----------
@@ -47,53 +47,55 @@
     """
 
     def __init__(self, cap_ratio: float = _DEFAULT_CAP_RATIO) -> None:
-        """Start with no failure known."""
+        """Start without any recorded failures."""
         self._cap_ratio = cap_ratio
-        self._families: dict[str, _Tally] = {}
+        self._families: dict[str, _FamilyOutcomes] = {}
         self._workers: dict[str, _WorkerRecord] = {}
-        self._resting: collections.Counter[str] = collections.Counter()
+        self._quarantined_by_pool: collections.Counter[str] = (
+            collections.Counter()
+        )
         self._failed_on: dict[str, set[str]] = {}
         self._losses: collections.Counter[str] = collections.Counter()
 
-    def is_resting(self, worker: str) -> bool:
-        """Whether a worker gets no ordinary work."""
+    def is_quarantined(self, worker: str) -> bool:
+        """Whether a worker is in quarantine."""
         record = self._workers.get(worker)
-        return record is not None and record.is_resting
+        return record is not None and record.is_quarantined
 
-    def is_bad_job(self, job_id: str) -> bool:
-        """Whether a job failed on so many workers that it is to blame."""
-        return len(self._failed_on.get(job_id, ())) >= _BAD_JOB_WORKERS
+    def failed_everywhere(self, job_id: str) -> bool:
+        """Whether a job failed on enough workers to be considered faulty."""
+        return len(self._failed_on.get(job_id, ())) >= _FAULTY_JOB_WORKERS
 
     def loses_workers(self, job_id: str) -> bool:
-        """Whether so many workers were lost with a job that it is to blame."""
-        return self._losses[job_id] >= _BAD_JOB_WORKERS
+        """Whether enough workers were lost with a job to blame the job."""
+        return self._losses[job_id] >= _FAULTY_JOB_WORKERS
 
-    def lost(self, job_id: str) -> None:
-        """Take in that a worker was lost soon after it had started a job.
+    def note_worker_lost(self, job_id: str) -> None:
+        """Record that a worker was lost soon after it had started a job.
 
-        It may be the same worker each time, as that comes back.
+        A worker that comes back and is lost again counts each time.
         """
         self._losses[job_id] += 1
 
     def failed_on(self, job_id: str) -> frozenset[str]:
-        """Return the workers on which a job failed."""
+        """Return the names of the workers on which a job failed."""
         return frozenset(self._failed_on.get(job_id, ()))
 
     def forget_job(self, job_id: str) -> None:
-        """Drop what is known of a job that is done."""
+        """Delete the records of a job that is done."""
         self._failed_on.pop(job_id, None)
         self._losses.pop(job_id, None)
 
-    def finished(self, pool: str, worker: str, family: str) -> bool:
-        """Take a success in; return whether the worker left quarantine."""
-        self._families.setdefault(family, _Tally()).finished += 1
+    def note_success(self, pool: str, worker: str, family: str) -> bool:
+        """Record a success; return whether the worker left quarantine."""
+        self._families.setdefault(family, _FamilyOutcomes()).finished += 1
         record = self._workers.pop(worker, None)
-        if record is None or not record.is_resting:
+        if record is None or not record.is_quarantined:
             return False
-        self._resting[pool] -= 1
+        self._quarantined_by_pool[pool] -= 1
         return True
 
-    def failed(
+    def note_failure(
         self,
         pool: str,
         pool_workers: int,
@@ -102,28 +104,31 @@
         family: str,
         now_s: float,
     ) -> bool:
-        """Take a failure in; return whether the worker is now resting."""
+        """Record a failure; return whether the worker is now quarantined."""
         self._failed_on.setdefault(job_id, set()).add(worker)
         record = self._workers.setdefault(worker, _WorkerRecord())
         record.evidence += self._weight(record, family)
         record.failed_families[family] += 1
-        self._families.setdefault(family, _Tally()).failed += 1
-        if record.is_resting:
-            self._rest(record, now_s)
+        self._families.setdefault(family, _FamilyOutcomes()).failed += 1
+        if record.is_quarantined:
+            self._quarantine(record, now_s)
             return True
         cap = max(1, math.floor(pool_workers * self._cap_ratio))
-        if record.evidence < _SUSPECT_EVIDENCE or self._resting[pool] >= cap:
+        if (
+            record.evidence < _QUARANTINE_EVIDENCE
+            or self._quarantined_by_pool[pool] >= cap
+        ):
             return False
-        self._resting[pool] += 1
-        self._rest(record, now_s)
+        self._quarantined_by_pool[pool] += 1
+        self._quarantine(record, now_s)
         return True
 
     def due_for_probe(self, now_s: float) -> list[str]:
-        """Return resting workers that may be given one job, once each."""
+        """Return the quarantined workers to probe with one job, once each."""
         due = [
             name
             for name, record in self._workers.items()
-            if record.is_resting
+            if record.is_quarantined
             and not record.is_probed
             and record.ends_s <= now_s
         ]
@@ -131,27 +136,31 @@
             self._workers[name].is_probed = True
         return due
 
-    def probe_again(self, worker: str) -> None:
-        """Note that a probe ended without telling anything."""
+    def allow_probe(self, worker: str) -> None:
+        """Allow another probe after one that ended inconclusively."""
         record = self._workers.get(worker)
         if record is not None:
             record.is_probed = False
 
     def forget_worker(self, pool: str, worker: str) -> None:
-        """Drop a worker that left or was rebooted."""
+        """Delete the record of a worker that left or was rebooted."""
         record = self._workers.pop(worker, None)
-        if record is not None and record.is_resting:
-            self._resting[pool] -= 1
+        if record is not None and record.is_quarantined:
+            self._quarantined_by_pool[pool] -= 1
 
     def _weight(self, record: _WorkerRecord, family: str) -> float:
-        tally = self._families.get(family, _Tally())
-        failed_elsewhere = tally.failed - record.failed_families[family]
-        # One success and one failure are assumed beforehand.
-        return (tally.finished + 1) / (tally.finished + failed_elsewhere + 2)
-
-    def _rest(self, record: _WorkerRecord, now_s: float) -> None:
-        rest_s = min(_FIRST_REST_S * 2**record.rests, _LONGEST_REST_S)
-        record.rests += 1
-        record.ends_s = now_s + rest_s
-        record.is_resting = True
+        outcomes = self._families.get(family, _FamilyOutcomes())
+        failed_elsewhere = outcomes.failed - record.failed_families[family]
+        # Laplace smoothing: starts from one success and one failure.
+        return (outcomes.finished + 1) / (
+            outcomes.finished + failed_elsewhere + 2
+        )
+
+    def _quarantine(self, record: _WorkerRecord, now_s: float) -> None:
+        duration_s = min(
+            _FIRST_QUARANTINE_S * 2**record.quarantines, _MAX_QUARANTINE_S
+        )
+        record.quarantines += 1
+        record.ends_s = now_s + duration_s
+        record.is_quarantined = True
         record.is_probed = False
--- a/src/wigeonreach/fleet/_waves_chart.py
+++ b/src/wigeonreach/fleet/_waves_chart.py
@@ -1,4 +1,4 @@
-"""Read the chart of one VM in a wave into a table."""
+"""Load the state chart of one VM in a wave as a transition table."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Phase(enum.StrEnum):
-    """Where a VM stands in its wave; the states of the chart."""
+    """Progress of a VM in its wave; the states of the chart."""
 
     WAITING = 'waiting'
     DRAINING = 'draining'
@@ -27,7 +27,7 @@
 
     @property
     def is_final(self) -> bool:
-        """Whether nothing more happens to the VM in this wave."""
+        """Whether the VM is finished with this wave."""
         return self in _FINAL
 
 
@@ -35,7 +35,7 @@
 
 
 class VmEvent(enum.StrEnum):
-    """What can happen to a VM of a wave; the events of the chart."""
+    """Events of a VM in a wave; the events of the chart."""
 
     GRANTED = 'granted'
     DRAINED = 'drained'
@@ -49,7 +49,7 @@
 
 
 class EffectKind(enum.StrEnum):
-    """What the platform is asked to do; the actions of the chart."""
+    """Requests to the platform; the actions of the chart."""
 
     DRAIN = 'drain'
     UNDRAIN = 'undrain'
@@ -60,7 +60,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Transition:
-    """Where an event leads and what the platform is asked to do."""
+    """Target phase of an event and the requests to the platform."""
 
     target: Phase
     effects: tuple[EffectKind, ...]
@@ -71,13 +71,12 @@
 
 @functools.cache
 def wave_table() -> Table:
-    """Return the chart as a table by phase and event.
+    """Return the transitions of the chart by phase and event.
 
     Raises
     ------
     ValueError
-        If the chart names a state, event or action that the code does not
-        know.
+        If the chart contains a state, event or action unknown to the code.
     """
     chart = load_chart(_CHART)
     return MappingProxyType(
@@ -93,6 +92,6 @@
 
 @functools.cache
 def entry_effects(phase: Phase) -> tuple[EffectKind, ...]:
-    """Return what is asked for on entering a phase, for resending."""
+    """Return the entry actions of a phase, for resending."""
     entry = load_chart(_CHART).entries.get(phase)
     return (EffectKind(entry),) if entry else ()
--- a/src/wigeonreach/fleet/_waves_flight.py
+++ b/src/wigeonreach/fleet/_waves_flight.py
@@ -1,4 +1,4 @@
-"""Take VMs through the chart of a wave, with the time limits of phases."""
+"""Drive VMs through the state chart of a wave, with timeouts per phase."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from wigeonreach.fleet._waves_model import Track, WaveEffect, WaveSettings
 from wigeonreach.fleet._waves_wave import Wave
 
-_STATES = MappingProxyType(
+_VM_STATES = MappingProxyType(
     {
         Phase.WAITING: VmState.SERVING,
         Phase.DRAINING: VmState.DRAINING,
@@ -44,18 +44,18 @@
     is_limit: bool
 
 
-class Flights:
-    """The VMs that some wave has drained and not yet ended with.
+class ActiveVms:
+    """The VMs that a wave has started to maintain and not yet finished.
 
-    Keeps the inventory and the budgets in step, so that all waves and moves
-    count what any of them holds down.
+    Keeps the inventory and the budgets up to date, so that all waves and
+    moves account for the VMs under maintenance by any of them.
 
     Parameters
     ----------
     inventory, budgets
-        What is changed with each step.
+        Updated with each transition.
     settings
-        Limits of the phases.
+        Time limits of the phases.
     """
 
     def __init__(
@@ -64,7 +64,7 @@
         budgets: Budgets,
         settings: WaveSettings,
     ) -> None:
-        """Start with no VM on its way."""
+        """Start without active VMs."""
         self._inventory = inventory
         self._budgets = budgets
         self._settings = settings
@@ -75,15 +75,15 @@
         self._timers: list[_Timer] = []
 
     def wave_of(self, vm: str) -> Wave | None:
-        """Return the wave that has a VM on its way."""
+        """Return the wave in which a VM is active, or None."""
         return self._waves.get(vm)
 
     def in_pool(self, wave: Wave, pool: str) -> int:
-        """Return how many VMs of a pool a wave has on their way."""
+        """Return the number of active VMs of a wave in a pool."""
         return self._in_pool[wave.wave_id, pool]
 
     def draining(self) -> list[Vm]:
-        """Return the VMs whose drain can still be taken back."""
+        """Return the VMs whose drain can still be cancelled."""
         found = (
             self._inventory.find(name)
             for name, wave in self._waves.items()
@@ -92,7 +92,7 @@
         return [vm for vm in found if vm is not None]
 
     def accepts(self, vm: str, operation_id: str) -> bool:
-        """Return whether a report is about the current attempt."""
+        """Return whether a report refers to the current attempt."""
         wave = self._waves.get(vm)
         if wave is None:
             return False
@@ -105,7 +105,7 @@
         event: VmEvent,
         now_s: float,
     ) -> list[WaveEffect]:
-        """Take a VM through one transition of the chart.
+        """Apply one event to a VM.
 
         Parameters
         ----------
@@ -114,71 +114,71 @@
         vm
             The VM, as the inventory holds it.
         event
-            What happened; changes nothing where the chart does not know it.
+            Ignored if the chart has no transition for it.
         now_s
-            Time, in seconds.
+            Current time, in seconds.
 
         Returns
         -------
         list[WaveEffect]
-            What the platform is asked to do.
+            Requests to the platform.
         """
         transition = wave_table().get((wave.tracks[vm.name].phase, event))
         if transition is None:
             return []
         wave.enter(vm, transition.target, now_s)
-        self._follow(wave, vm)
-        self.set_state(vm, _STATES[transition.target], now_s)
+        self._update_active(wave, vm)
+        self.set_state(vm, _VM_STATES[transition.target], now_s)
         return _effects(wave, vm.name, transition.effects)
 
-    def adopt(self, wave: Wave, now_s: float) -> list[WaveEffect]:
-        """Go on with the VMs that were on their way before a restart.
+    def resume(self, wave: Wave, now_s: float) -> list[WaveEffect]:
+        """Resume the VMs that were active before a restart.
 
         Returns
         -------
         list[WaveEffect]
-            The effects of their phases again, under the same ids.
+            The effects of their phases again, with the same operation ids.
         """
         effects: list[WaveEffect] = []
         for name in wave.active:
             vm = self._inventory.find(name)
             if vm is not None:
-                self._follow(wave, vm)
+                self._update_active(wave, vm)
                 phase = wave.tracks[name].phase
-                self.set_state(vm, _STATES[phase], now_s)
+                self.set_state(vm, _VM_STATES[phase], now_s)
                 effects.extend(_effects(wave, name, entry_effects(phase)))
         return effects
 
-    def due(self, now_s: float) -> Iterator[tuple[str, bool]]:
-        """Yield VMs whose phase's limit, or time to resend, has passed."""
+    def due_timers(self, now_s: float) -> Iterator[tuple[str, bool]]:
+        """Yield VMs whose phase timed out or whose effects are resent now."""
         while self._timers and self._timers[0].at_s <= now_s:
             timer = heapq.heappop(self._timers)
             wave = self._waves.get(timer.vm)
             track = wave.tracks[timer.vm] if wave else None
-            if track and self._still_holds(timer, track, now_s):
+            if track and self._is_current(timer, track, now_s):
                 yield timer.vm, timer.is_limit
 
     def resend(self, vm: str, now_s: float) -> list[WaveEffect]:
         """Return the effects of a VM's phase again."""
         wave = self._waves[vm]
         track = wave.tracks[vm]
-        self._arm(track, now_s + self._settings.resend_s, is_limit=False)
+        self._set_timer(track, now_s + self._settings.resend_s, is_limit=False)
         return _effects(wave, vm, entry_effects(track.phase))
 
     def set_state(self, vm: Vm, state: VmState, now_s: float) -> None:
-        """Change a known VM's state, and with it the budgets."""
+        """Change the state of a known VM and update the budgets."""
         if self._inventory.find(vm.name) is not None:
             self._inventory.put(dataclasses.replace(vm, state=state))
             self._budgets.observe(vm.pool, now_s)
 
-    def _still_holds(self, timer: _Timer, track: Track, now_s: float) -> bool:
+    def _is_current(self, timer: _Timer, track: Track, now_s: float) -> bool:
         if (track.attempt, track.phase) != (timer.attempt, timer.phase):
             return False
-        # After a long pause the limit goes before resending.
+        # After a long pause, the timeout takes precedence over resending.
         limit_s = self._settings.limit_s(track.phase)
         return timer.is_limit or now_s < track.since_s + limit_s
 
-    def _follow(self, wave: Wave, vm: Vm) -> None:
+    def _update_active(self, wave: Wave, vm: Vm) -> None:
         track = wave.tracks[vm.name]
         if vm.name not in wave.active:
             if self._waves.pop(vm.name, None):
@@ -188,11 +188,11 @@
             self._waves[vm.name] = wave
             self._in_pool[wave.wave_id, vm.pool] += 1
         limit_s = self._settings.limit_s(track.phase)
-        self._arm(track, track.since_s + limit_s, is_limit=True)
+        self._set_timer(track, track.since_s + limit_s, is_limit=True)
         resend_s = track.since_s + self._settings.resend_s
-        self._arm(track, resend_s, is_limit=False)
+        self._set_timer(track, resend_s, is_limit=False)
 
-    def _arm(self, track: Track, at_s: float, *, is_limit: bool) -> None:
+    def _set_timer(self, track: Track, at_s: float, *, is_limit: bool) -> None:
         heapq.heappush(
             self._timers,
             _Timer(at_s, track.vm, track.attempt, track.phase, is_limit),
--- a/src/wigeonreach/fleet/_waves_model.py
+++ b/src/wigeonreach/fleet/_waves_model.py
@@ -9,7 +9,7 @@
 
 
 class WaveStatus(enum.StrEnum):
-    """Whether a wave takes new VMs."""
+    """Status of a wave; only a running one starts further VMs."""
 
     RUNNING = 'running'
     PAUSED = 'paused'
@@ -25,15 +25,17 @@
     Attributes
     ----------
     max_at_once
-        Most VMs of one wave between drain and settling.
+        Largest number of VMs of one wave from drain to settling.
     halt_failures, halt_window
-        A wave halts at so many failures among so many last results.
-    limits_s
-        Longest stay in a phase, by phase; of settling, its length.
+        A wave halts after this many failures among the last results.
+    drain_limit_s, reboot_limit_s, check_limit_s
+        Timeouts of the phases, in seconds.
+    settle_s
+        Length of the settling phase, in seconds.
     resend_s
-        After this time in a phase its effect is sent again.
+        Seconds in a phase after which its effects are sent again.
     expected_s
-        For how long a VM is down as a rule; what the budget is asked for.
+        Typical downtime of a VM in seconds, requested from the budget.
     """
 
     max_at_once: int = 20
@@ -58,7 +60,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StartWave:
-    """Maintain some VMs; a wave id that is known changes nothing."""
+    """Start maintenance of VMs; ignored if the wave id is known."""
 
     command_id: str
     wave_id: str
@@ -67,7 +69,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PauseWave:
-    """Take no new VMs; those begun are finished."""
+    """Start no further VMs; those already started are finished."""
 
     command_id: str
     wave_id: str
@@ -75,7 +77,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ResumeWave:
-    """Take new VMs again, also after the wave halted by itself."""
+    """Start further VMs again, also after the wave halted by itself."""
 
     command_id: str
     wave_id: str
@@ -83,7 +85,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StopWave:
-    """Take no new VMs ever; VMs that only drain go back."""
+    """End the wave; VMs that are still draining are put back in service."""
 
     command_id: str
     wave_id: str
@@ -91,7 +93,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DrainProgress:
-    """What a draining VM still holds."""
+    """Work remaining on a draining VM."""
 
     vm: str
     in_flight: int
@@ -100,13 +102,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class VmReport:
-    """What the platform says of a VM.
+    """Event of a VM, reported by the platform.
 
     Attributes
     ----------
     operation_id
-        The operation that is answered; empty where the platform speaks of
-        its own accord, as of a loss.
+        The operation that the report answers; empty for unsolicited reports,
+        such as a loss.
     """
 
     vm: str
@@ -116,7 +118,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class VmBack:
-    """A VM that was lost serves again."""
+    """A lost VM is serving again."""
 
     vm: str
 
@@ -140,12 +142,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WaveEffect:
-    """What the platform is asked to do.
+    """Request to the platform.
 
     Attributes
     ----------
     operation_id
-        The same in each resend, so that the platform does it once.
+        Idempotency key: the same in each resend, so that the platform
+        executes the request once.
     """
 
     kind: EffectKind
@@ -155,14 +158,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Track:
-    """One VM's way through a wave.
+    """Progress of one VM in a wave.
 
     Attributes
     ----------
     attempt
-        Grants so far; the operation ids of each attempt differ.
+        Number of grants so far; part of the operation ids.
     since_s
-        When it entered the phase.
+        Time at which the VM entered the phase, in seconds.
     """
 
     vm: str
@@ -173,17 +176,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WaveState:
-    """All that must survive a restart.
+    """Durable state of a wave.
 
     Attributes
     ----------
     results
-        The last results, newest last; True for a VM maintained.
+        The most recent results, newest last; True for a maintained VM.
     successes
         VMs maintained since the last failure, by pool; the step size grows
         with them.
     commands
-        Ids of the last commands taken.
+        Ids of the most recent commands, for deduplication.
     """
 
     wave_id: str
--- a/src/wigeonreach/fleet/_waves_planner.py
+++ b/src/wigeonreach/fleet/_waves_planner.py
@@ -1,4 +1,4 @@
-"""Decide the next steps of all maintenance waves over one inventory."""
+"""Plan the next steps of all maintenance waves over one inventory."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 import itertools
 from collections.abc import Iterable, Mapping, Sequence
 
-from wigeonreach.fleet._budget import ALLOWED, Budgets, Refusal, Verdict
+from wigeonreach.fleet._budget import ALLOWED, Budgets, Refusal, Decision
 from wigeonreach.fleet._inventory import Inventory
 from wigeonreach.fleet._model import Vm, VmState
 from wigeonreach.fleet._waves_chart import VmEvent
-from wigeonreach.fleet._waves_flight import Flights
+from wigeonreach.fleet._waves_flight import ActiveVms
 from wigeonreach.fleet._waves_gates import Gate
 from wigeonreach.fleet._waves_model import (
     DrainProgress,
@@ -29,28 +29,28 @@
     WaveState,
     WaveStatus,
 )
-from wigeonreach.fleet._waves_queue import Head
+from wigeonreach.fleet._waves_queue import QueueHead
 from wigeonreach.fleet._waves_wave import Wave, new_wave_state
 from wigeonreach.text import Maintenance
 
-# Zones and pools asked for a VM on one event; bounds what an event costs.
+# Groups of zone and pool checked on one event; bounds the cost of an event.
 _HEADS_PER_EVENT = 16
 _DAY_S = 86_400.0
 
 
 class WavePlanner:
-    """All waves of one manager.
+    """All maintenance waves of one manager.
 
     Parameters
     ----------
     inventory, budgets
-        The VMs and what may be down; changed with each step.
+        The VMs and the availability budgets; updated with each step.
     settings
         Limits of waves.
     maintenance
-        When VMs may be drained; None for always.
+        Daily window in which VMs may be drained; None for always.
     gates
-        Limits besides the budgets.
+        Limits in addition to the budgets.
     """
 
     def __init__(
@@ -61,97 +61,97 @@
         maintenance: Maintenance | None = None,
         gates: Sequence[Gate] = (),
     ) -> None:
-        """Start with no wave."""
+        """Start without waves."""
         self.waves: dict[str, Wave] = {}
         self.refusals: collections.Counter[Refusal] = collections.Counter()
-        self.last_refusals: dict[str, Verdict] = {}
-        self._wanting: dict[str, str] = {}
+        self.last_refusals: dict[str, Decision] = {}
+        self._pools_short_of_spare: dict[str, str] = {}
         self._inventory = inventory
         self._budgets = budgets
         self._settings = settings or WaveSettings()
         self._maintenance = maintenance
         self._gates: tuple[Gate, ...] = (budgets, *gates)
-        self._flights = Flights(inventory, budgets, self._settings)
-        self._open: collections.deque[Wave] = collections.deque()
+        self._active_vms = ActiveVms(inventory, budgets, self._settings)
+        self._open_waves: collections.deque[Wave] = collections.deque()
 
     def restore(
         self,
         states: Iterable[WaveState],
         now_s: float,
     ) -> list[WaveEffect]:
-        """Go on with waves after a restart.
+        """Resume waves after a restart.
 
         Parameters
         ----------
         states
-            What `Wave.state` gave before.
+            States returned by `Wave.state` before the restart.
         now_s
-            Time, in seconds.
+            Current time, in seconds.
 
         Returns
         -------
         list[WaveEffect]
-            What was asked for already, under the same ids.
+            Outstanding requests again, with the same operation ids.
         """
         effects: list[WaveEffect] = []
         for state in states:
-            wave = self._add(state)
-            effects.extend(self._flights.adopt(wave, now_s))
+            wave = self._add_wave(state)
+            effects.extend(self._active_vms.resume(wave, now_s))
         return effects
 
     def handle(self, message: Message, now_s: float) -> list[WaveEffect]:
-        """Take one message and decide what to do next.
+        """Process one message and decide the next steps.
 
         Parameters
         ----------
         message
             A command, a report or the passing of time.
         now_s
-            Time, in seconds.
+            Current time, in seconds.
 
         Returns
         -------
         list[WaveEffect]
-            What the platform is asked to do.
+            Requests to the platform.
         """
-        effects = self._take(message, now_s)
-        return effects + self._grant(now_s)
+        effects = self._handle(message, now_s)
+        return effects + self._grant_drains(now_s)
 
     def take_wanting(self) -> Mapping[str, str]:
-        """Return the pools that were refused for want of spare, once.
+        """Return the pools blocked by a lack of spare capacity, and reset.
 
-        Another VM lent to such a pool lets its maintenance go on; best one
-        in the zone given by pool, where the VM stands that waits.
+        Lending another VM to such a pool lets its maintenance continue.  The
+        value is the zone of the waiting VM, in which a lent VM helps most.
         """
-        wanting = self._wanting
-        self._wanting = {}
-        return wanting
+        pools = self._pools_short_of_spare
+        self._pools_short_of_spare = {}
+        return pools
 
     def is_busy(self, vm: str) -> bool:
-        """Return whether some wave has a VM on its way."""
-        return self._flights.wave_of(vm) is not None
+        """Return whether a VM is active in some wave."""
+        return self._active_vms.wave_of(vm) is not None
 
     def is_waiting(self, pool: str) -> bool:
-        """Return whether some running wave has VMs of a pool waiting."""
+        """Return whether VMs of a pool are waiting in some running wave."""
         return any(
             wave.queue.is_waiting(pool)
-            for wave in self._open
+            for wave in self._open_waves
             if wave.status is WaveStatus.RUNNING
         )
 
     @functools.singledispatchmethod
-    def _take(self, message: Message, now_s: float) -> list[WaveEffect]:
+    def _handle(self, message: Message, now_s: float) -> list[WaveEffect]:
         raise TypeError(message)
 
-    @_take.register
-    def _start(self, message: StartWave, now_s: float) -> list[WaveEffect]:
+    @_handle.register
+    def _on_start(self, message: StartWave, now_s: float) -> list[WaveEffect]:
         if message.wave_id not in self.waves:
-            wave = self._add(new_wave_state(message.wave_id, message.vms))
+            wave = self._add_wave(new_wave_state(message.wave_id, message.vms))
             wave.take_command(message.command_id)
         return []
 
-    @_take.register
-    def _pause(self, message: PauseWave, now_s: float) -> list[WaveEffect]:
+    @_handle.register
+    def _on_pause(self, message: PauseWave, now_s: float) -> list[WaveEffect]:
         wave = self.waves.get(message.wave_id)
         if wave is None or not wave.take_command(message.command_id):
             return []
@@ -159,8 +159,8 @@
             wave.status = WaveStatus.PAUSED
         return []
 
-    @_take.register
-    def _resume(self, message: ResumeWave, now_s: float) -> list[WaveEffect]:
+    @_handle.register
+    def _on_resume(self, message: ResumeWave, now_s: float) -> list[WaveEffect]:
         wave = self.waves.get(message.wave_id)
         if wave is None or not wave.take_command(message.command_id):
             return []
@@ -168,107 +168,111 @@
             wave.resume()
         return []
 
-    @_take.register
-    def _stop(self, message: StopWave, now_s: float) -> list[WaveEffect]:
-        wave = self._known(message.wave_id)
+    @_handle.register
+    def _on_stop(self, message: StopWave, now_s: float) -> list[WaveEffect]:
+        wave = self._find_or_add_stopped(message.wave_id)
         wave.take_command(message.command_id)
         if wave.is_ended:
             return []
         wave.status = WaveStatus.STOPPED
         wave.skip_waiting(now_s)
         steps = (
-            self._flights.step(wave, vm, VmEvent.STOPPED, now_s)
-            for vm in self._flights.draining()
+            self._active_vms.step(wave, vm, VmEvent.STOPPED, now_s)
+            for vm in self._active_vms.draining()
             if vm.name in wave.active
         )
         return list(itertools.chain.from_iterable(steps))
 
-    @_take.register
-    def _drain(self, message: DrainProgress, now_s: float) -> list[WaveEffect]:
+    @_handle.register
+    def _on_drain_progress(
+        self, message: DrainProgress, now_s: float
+    ) -> list[WaveEffect]:
         if message.in_flight or message.open_checkpoints:
             return []
-        return self._event(message.vm, VmEvent.DRAINED, now_s)
+        return self._apply_event(message.vm, VmEvent.DRAINED, now_s)
 
-    @_take.register
-    def _report(self, message: VmReport, now_s: float) -> list[WaveEffect]:
+    @_handle.register
+    def _on_report(self, message: VmReport, now_s: float) -> list[WaveEffect]:
         if message.event is VmEvent.LOST:
-            return self._lost(message.vm, now_s)
-        # Reports may come late and twice, also those of an earlier attempt.
-        if not self._flights.accepts(message.vm, message.operation_id):
+            return self._handle_lost(message.vm, now_s)
+        # Reports may be late or duplicated, or refer to an earlier attempt.
+        if not self._active_vms.accepts(message.vm, message.operation_id):
             return []
-        return self._event(message.vm, message.event, now_s)
+        return self._apply_event(message.vm, message.event, now_s)
 
-    @_take.register
-    def _back(self, message: VmBack, now_s: float) -> list[WaveEffect]:
+    @_handle.register
+    def _on_vm_back(self, message: VmBack, now_s: float) -> list[WaveEffect]:
         vm = self._inventory.find(message.vm)
-        if vm is not None and self._flights.wave_of(vm.name) is None:
-            self._flights.set_state(vm, VmState.SERVING, now_s)
+        if vm is not None and self._active_vms.wave_of(vm.name) is None:
+            self._active_vms.set_state(vm, VmState.SERVING, now_s)
         return []
 
-    @_take.register
-    def _tick(self, message: Tick, now_s: float) -> list[WaveEffect]:
+    @_handle.register
+    def _on_tick(self, message: Tick, now_s: float) -> list[WaveEffect]:
         effects: list[WaveEffect] = []
-        for name, is_limit in self._flights.due(now_s):
+        for name, is_limit in self._active_vms.due_timers(now_s):
             if is_limit:
-                effects += self._event(name, VmEvent.TIMED_OUT, now_s)
+                effects += self._apply_event(name, VmEvent.TIMED_OUT, now_s)
             else:
-                effects += self._flights.resend(name, now_s)
+                effects += self._active_vms.resend(name, now_s)
         return effects
 
-    def _event(
+    def _apply_event(
         self,
         name: str,
         event: VmEvent,
         now_s: float,
     ) -> list[WaveEffect]:
-        wave = self._flights.wave_of(name)
+        wave = self._active_vms.wave_of(name)
         vm = self._inventory.find(name)
         if wave is None or vm is None:
             return []
-        return self._flights.step(wave, vm, event, now_s)
+        return self._active_vms.step(wave, vm, event, now_s)
 
-    def _lost(self, name: str, now_s: float) -> list[WaveEffect]:
+    def _handle_lost(self, name: str, now_s: float) -> list[WaveEffect]:
         vm = self._inventory.find(name)
         if vm is None:
             return []
-        effects = self._event(name, VmEvent.LOST, now_s)
-        if self._flights.wave_of(name) is None:
-            self._flights.set_state(vm, VmState.DOWN, now_s)
-        return effects + self._recall(now_s)
+        effects = self._apply_event(name, VmEvent.LOST, now_s)
+        if self._active_vms.wave_of(name) is None:
+            self._active_vms.set_state(vm, VmState.DOWN, now_s)
+        return effects + self._recall_drains(now_s)
 
-    def _recall(self, now_s: float) -> list[WaveEffect]:
-        """Take back drains that the budget would not allow any more."""
+    def _recall_drains(self, now_s: float) -> list[WaveEffect]:
+        """Cancel drains that the budgets no longer allow."""
         effects: list[WaveEffect] = []
-        for vm in self._flights.draining():
-            wave = self._flights.wave_of(vm.name)
-            self._flights.set_state(vm, VmState.SERVING, now_s)
+        for vm in self._active_vms.draining():
+            wave = self._active_vms.wave_of(vm.name)
+            self._active_vms.set_state(vm, VmState.SERVING, now_s)
             serving = dataclasses.replace(vm, state=VmState.SERVING)
-            if wave and not self._judge(serving, now_s).is_allowed:
-                effects += self._flights.step(wave, vm, VmEvent.RECALLED, now_s)
+            if wave and not self._check_gates(serving, now_s).is_allowed:
+                effects += self._active_vms.step(
+                    wave, vm, VmEvent.RECALLED, now_s
+                )
             else:
-                self._flights.set_state(vm, VmState.DRAINING, now_s)
+                self._active_vms.set_state(vm, VmState.DRAINING, now_s)
         return effects
 
-    def _grant(self, now_s: float) -> list[WaveEffect]:
-        for wave in tuple(self._open):
+    def _grant_drains(self, now_s: float) -> list[WaveEffect]:
+        for wave in tuple(self._open_waves):
             wave.finish_if_done()
             if wave.is_ended:
-                self._open.remove(wave)
+                self._open_waves.remove(wave)
         if not self._is_window_open(now_s):
             return []
-        # Waves take turns at being first, so that none starves another.
-        self._open.rotate()
+        # Rotated so that each wave is first in turn and none is starved.
+        self._open_waves.rotate()
         steps = (
-            self._grant_one(wave, head, now_s)
-            for wave in self._open
+            self._try_grant(wave, head, now_s)
+            for wave in self._open_waves
             for head in wave.queue.heads(_HEADS_PER_EVENT)
         )
         return list(itertools.chain.from_iterable(steps))
 
-    def _grant_one(
+    def _try_grant(
         self,
         wave: Wave,
-        head: Head,
+        head: QueueHead,
         now_s: float,
     ) -> list[WaveEffect]:
         vm = self._inventory.find(head.name)
@@ -276,27 +280,31 @@
             wave.queue.take(head)
             wave.skip(head.name, now_s)
             return []
-        if not wave.has_room(vm.pool, self._flights.in_pool(wave, vm.pool)):
+        if not wave.allows_another(
+            vm.pool, self._active_vms.in_pool(wave, vm.pool)
+        ):
             return []
-        if not vm.is_up or self._flights.wave_of(vm.name) is not None:
+        if not vm.is_up or self._active_vms.wave_of(vm.name) is not None:
             wave.queue.defer(head)
             return []
-        verdict = self._judge(vm, now_s)
-        if verdict.refusal is not None:
-            self.refusals[verdict.refusal] += 1
-            self.last_refusals[wave.wave_id] = verdict
-            if self._budgets.lacks_spare(vm, now_s, self._settings.expected_s):
-                self._wanting[vm.pool] = vm.zone
+        decision = self._check_gates(vm, now_s)
+        if decision.refusal is not None:
+            self.refusals[decision.refusal] += 1
+            self.last_refusals[wave.wave_id] = decision
+            if self._budgets.would_spare_help(
+                vm, now_s, self._settings.expected_s
+            ):
+                self._pools_short_of_spare[vm.pool] = vm.zone
             return []
         wave.queue.take(head)
-        return self._flights.step(wave, vm, VmEvent.GRANTED, now_s)
+        return self._active_vms.step(wave, vm, VmEvent.GRANTED, now_s)
 
-    def _judge(self, vm: Vm, now_s: float) -> Verdict:
+    def _check_gates(self, vm: Vm, now_s: float) -> Decision:
         expected_s = self._settings.expected_s
         for gate in self._gates:
-            verdict = gate.judge(vm, now_s, expected_s)
-            if not verdict.is_allowed:
-                return verdict
+            decision = gate.check_drain(vm, now_s, expected_s)
+            if not decision.is_allowed:
+                return decision
         return ALLOWED
 
     def _is_window_open(self, now_s: float) -> bool:
@@ -306,19 +314,19 @@
         into_s = (now_s - window.window_start_s) % _DAY_S
         return into_s < window.window_length_s
 
-    def _known(self, wave_id: str) -> Wave:
+    def _find_or_add_stopped(self, wave_id: str) -> Wave:
         wave = self.waves.get(wave_id)
         if wave is None:
-            # A stop may overtake its start, which then must not begin.
+            # A stop may arrive before its start, which must then be ignored.
             stopped = new_wave_state(wave_id, (), WaveStatus.STOPPED)
-            wave = self._add(stopped)
+            wave = self._add_wave(stopped)
         return wave
 
-    def _add(self, state: WaveState) -> Wave:
+    def _add_wave(self, state: WaveState) -> Wave:
         found = (self._inventory.find(track.vm) for track in state.tracks)
         known = [vm for vm in found if vm is not None]
         wave = Wave(state, known, self._settings)
         self.waves[wave.wave_id] = wave
         if not wave.is_ended:
-            self._open.append(wave)
+            self._open_waves.append(wave)
         return wave
--- a/src/wigeonreach/fleet/_waves_queue.py
+++ b/src/wigeonreach/fleet/_waves_queue.py
@@ -1,4 +1,4 @@
-"""Keep the waiting VMs of a wave, so that the next is found at once."""
+"""Queue of the waiting VMs of a wave, grouped by zone and pool."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Head:
-    """The first VM that waits in a zone and pool."""
+class QueueHead:
+    """The first waiting VM of a zone and pool."""
 
     zone: str
     pool: str
@@ -20,15 +20,15 @@
 
 
 class WaveQueue:
-    """Waiting VMs by the zone and pool that they had when they came.
+    """Waiting VMs by the zone and pool that they had when queued.
 
-    VMs of one zone and pool are alike to the budget, so one refusal speaks
-    for all of them and only the first of each needs to be asked for.
+    The budgets treat VMs of one zone and pool alike, so a refusal applies to
+    all of them and only the first of each group needs to be checked.
 
     Parameters
     ----------
     vms
-        The VMs that wait, in any order.
+        The waiting VMs, in any order.
     """
 
     def __init__(self, vms: Iterable[Vm]) -> None:
@@ -43,36 +43,36 @@
             self.push(vm)
 
     def __len__(self) -> int:
-        """Return the number of zones and pools that have VMs waiting."""
+        """Return the number of groups of zone and pool with waiting VMs."""
         return len(self._waiting)
 
     def push(self, vm: Vm) -> None:
-        """Let a VM wait behind the others of its zone and pool."""
+        """Append a VM to the queue of its zone and pool."""
         key = (vm.zone, vm.pool)
         self._waiting.setdefault(key, collections.deque()).append(vm.name)
         self._in_pool[vm.pool] += 1
 
     def is_waiting(self, pool: str) -> bool:
-        """Return whether some VM of a pool waits."""
+        """Return whether any VM of a pool is waiting."""
         return self._in_pool[pool] > 0
 
-    def heads(self, most: int) -> Iterator[Head]:
-        """Yield the first VM of some zones and pools.
+    def heads(self, limit: int) -> Iterator[QueueHead]:
+        """Yield the first VM of each of the next groups of zone and pool.
 
-        Each one asked for moves to the back, so that the next call goes on
+        Each yielded group moves to the back, so that the next call continues
         where this one ended.
 
         Parameters
         ----------
-        most
-            Zones and pools to ask for; bounds the cost of one event.
+        limit
+            Largest number of groups; bounds the cost of one event.
         """
-        for key in list(itertools.islice(self._waiting, most)):
+        for key in list(itertools.islice(self._waiting, limit)):
             names = self._waiting.pop(key)
             self._waiting[key] = names
-            yield Head(*key, names[0])
+            yield QueueHead(*key, names[0])
 
-    def take(self, head: Head) -> None:
+    def take(self, head: QueueHead) -> None:
         """Remove the first VM of a zone and pool."""
         key = (head.zone, head.pool)
         names = self._waiting[key]
@@ -81,6 +81,6 @@
         if not names:
             self._waiting.pop(key)
 
-    def defer(self, head: Head) -> None:
+    def defer(self, head: QueueHead) -> None:
         """Move the first VM of a zone and pool behind the others."""
         self._waiting[head.zone, head.pool].rotate(-1)
