--- a/src/wigeonreach/fleet/_waves_wave.py
+++ b/src/wigeonreach/fleet/_waves_wave.py
@@ -1,4 +1,4 @@
-"""Follow one maintenance wave: its VMs, its step size and its results."""
+"""State of one maintenance wave: its VMs, step size and results."""
 
 from __future__ import annotations
 
@@ -21,19 +21,19 @@
 
 
 class Wave:
-    """One wave, owned by its planner.
+    """One maintenance wave, owned by its planner.
 
-    The step starts at one VM and grows by one with each VM maintained, for
-    the wave and for each pool, so that a bad image costs one VM.
+    The step size starts at one VM and grows by one with each VM maintained,
+    for the wave and for each pool, so that a bad image affects only one VM.
 
     Parameters
     ----------
     state
-        What is known of it, from a start or from before a restart.
+        Initial state, either new or saved before a restart.
     vms
-        Its VMs that the inventory knows.
+        VMs of the wave that the inventory contains.
     settings
-        Limits.
+        Limits of waves.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
         vms: Iterable[Vm],
         settings: WaveSettings,
     ) -> None:
-        """Take up the state."""
+        """Load the state."""
         self.wave_id = state.wave_id
         self.status = state.status
         self.reason = state.reason
@@ -63,17 +63,17 @@
 
     @property
     def is_ended(self) -> bool:
-        """Whether the wave can't take VMs ever again."""
+        """Whether the wave is over and starts no further VMs."""
         return self.status in _ENDED
 
     @property
     def step_size(self) -> int:
-        """How many VMs may be on their way at once."""
+        """Largest number of VMs that may be active at once."""
         grown = 1 + self._successes.total()
         return min(grown, self._settings.max_at_once)
 
     def state(self) -> WaveState:
-        """Return all that must survive a restart."""
+        """Return the state that must survive a restart."""
         return WaveState(
             wave_id=self.wave_id,
             status=self.status,
@@ -85,14 +85,14 @@
         )
 
     def take_command(self, command_id: str) -> bool:
-        """Return whether a command is new, and remember it."""
+        """Return whether a command is new, and record its id."""
         if command_id in self._commands:
             return False
         self._commands.append(command_id)
         return True
 
-    def has_room(self, pool: str, active_in_pool: int) -> bool:
-        """Return whether the step allows one VM more of a pool."""
+    def allows_another(self, pool: str, active_in_pool: int) -> bool:
+        """Return whether the step size allows one more VM of a pool."""
         if self.status is not WaveStatus.RUNNING:
             return False
         if len(self.active) >= self.step_size:
@@ -100,16 +100,16 @@
         return active_in_pool < 1 + self._successes[pool]
 
     def enter(self, vm: Vm, phase: Phase, now_s: float) -> None:
-        """Note that a VM entered a phase."""
+        """Record that a VM entered a phase."""
         track = self.tracks[vm.name]
-        begins = phase is Phase.DRAINING
+        is_start = phase is Phase.DRAINING
         self.tracks[vm.name] = Track(
             vm=vm.name,
             phase=phase,
-            attempt=track.attempt + int(begins),
+            attempt=track.attempt + int(is_start),
             since_s=now_s,
         )
-        if begins:
+        if is_start:
             self.active[vm.name] = None
         elif not _is_active(phase):
             self.active.pop(vm.name, None)
@@ -118,13 +118,13 @@
         self._note_result(vm.pool, phase)
 
     def finish_if_done(self) -> None:
-        """End the wave once no VM waits or is on its way."""
+        """End the wave if no VM is waiting or active."""
         is_empty = not self.active and not len(self.queue)
         if is_empty and not self.is_ended:
             self.status = WaveStatus.DONE
 
     def skip(self, name: str, now_s: float) -> None:
-        """Give up one VM that waited and is gone."""
+        """Skip one waiting VM, such as one that no longer exists."""
         track = self.tracks[name]
         self.tracks[name] = dataclasses.replace(
             track,
@@ -133,14 +133,14 @@
         )
 
     def skip_waiting(self, now_s: float) -> None:
-        """Give up all VMs that wait; linear in their number."""
+        """Skip all waiting VMs; linear in the number of VMs of the wave."""
         for name, track in tuple(self.tracks.items()):
             if track.phase is Phase.WAITING:
                 self.skip(name, now_s)
         self.queue = WaveQueue(())
 
     def resume(self) -> None:
-        """Run again, beginning with one VM."""
+        """Resume the wave with a step size of one VM."""
         self.status = WaveStatus.RUNNING
         self.reason = ''
         self._results.clear()
@@ -172,7 +172,7 @@
     vms: Iterable[str],
     status: WaveStatus = WaveStatus.RUNNING,
 ) -> WaveState:
-    """Return the state of a wave that begins."""
+    """Return the initial state of a wave."""
     return WaveState(
         wave_id=wave_id,
         status=status,
@@ -185,9 +185,9 @@
 
 
 def merge_states(one: WaveState, other: WaveState) -> WaveState:
-    """Return what two managers know of the same wave together.
+    """Merge the states that two managers have of the same wave.
 
-    After a zone was cut off, each side has gone on with its own VMs.  The
+    While a zone is partitioned, each side continues with its own VMs.  The
     later attempt and the further phase win, so that nothing is done twice.
 
     Parameters
--- a/tests/builders_fleet.py
+++ b/tests/builders_fleet.py
@@ -1,4 +1,4 @@
-"""Build VMs, inventories and texts of fleets."""
+"""Builders of VMs, inventories and fleet texts for tests."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 def build_inventory(text: FleetText) -> Inventory:
-    """Return the VMs of a text; the first letter is the zone."""
+    """Return the VMs of a text; the first letter of a name is the zone."""
     return Inventory(
         build_vm(name=name, zone=name[0], pool=pool.name)
         for pool in text.pools.values()
@@ -46,5 +46,5 @@
 
 
 def build_fleet_text(source: str = FLEET_TEXT) -> FleetText:
-    """Return the text of a fleet of three zones."""
+    """Return a parsed text, by default of a fleet of three zones."""
     return parse_fleet_text(source)
--- a/tests/builders_placement.py
+++ b/tests/builders_placement.py
@@ -1,4 +1,4 @@
-"""Build jobs, workers and placements with sensible defaults."""
+"""Builders of jobs, workers and placements for tests."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 def build_placement(workers: int, **settings: Any) -> Placement:
-    """Return a placement with some workers that joined at second 0."""
+    """Return a placement whose workers joined at second 0."""
     placement = Placement(settings.pop('quotas', {'team': 1000}), **settings)
     for number in range(workers):
         placement.handle(WorkerJoined(build_worker(number)), 0)
@@ -52,7 +52,7 @@
     change: TaskEnd,
     now_s: float = 0,
 ) -> list[Any]:
-    """Tell of the present task of a job and return the effects."""
+    """Report a state of a job's current task and return the effects."""
     record = placement.job(job_id)
     assert record is not None
     event = TaskChanged(job_id, record.lease_token, change)
--- a/tests/fleet/test_budget.py
+++ b/tests/fleet/test_budget.py
@@ -1,4 +1,4 @@
-"""Test that own actions never break a budget, whatever fails besides."""
+"""Test that drains never violate a budget, whatever else fails."""
 
 from __future__ import annotations
 
@@ -53,10 +53,10 @@
 
 
 class ForgetsDownInventory(Inventory):
-    """Planted fault: counts VMs that failed as if they served."""
+    """Injected fault: counts failed VMs as serving."""
 
     def put(self, vm: Vm) -> None:
-        """Count a failed VM as up."""
+        """Add a failed VM as a serving one."""
         if vm.state is VmState.DOWN:
             super().put(dataclasses.replace(vm, state=VmState.SERVING))
         else:
@@ -64,25 +64,25 @@
 
 
 class ForgetsDomainInventory(Inventory):
-    """Planted fault: takes every VM for a zone of its own."""
+    """Injected fault: treats every VM as a zone of its own."""
 
     def put(self, vm: Vm) -> None:
-        """Put the VM into a zone that no other VM shares."""
+        """Add the VM in a zone that no other VM shares."""
         super().put(dataclasses.replace(vm, zone=vm.name))
 
 
 class TestBudgets(testtools.TestCase):
-    """Decisions on one VM more."""
+    """Decisions on taking one more VM down."""
 
     @seed(5)
     @settings(max_examples=150, deadline=None, database=None)
     @given(st.integers(min_value=0, max_value=10**6))
     def test_own_actions_never_break(self, case: int) -> None:
-        """No allowed action breaks a budget with a guarded domain lost."""
+        """No allowed drain violates a budget when a guarded domain is lost."""
         self.assertThat(list(_faults(case, Inventory)), Equals([]))
 
     def test_planted_faults_are_found(self) -> None:
-        """The check finds a planner that forgets failures or domains."""
+        """The check detects inventories that ignore failures or domains."""
         for planted in (ForgetsDownInventory, ForgetsDomainInventory):
             found = [
                 fault for case in range(60) for fault in _faults(case, planted)
@@ -90,37 +90,39 @@
             self.assertNotEqual([], found, planted.__name__)
 
     def test_watched(self) -> None:
-        """A VM of a watched service is never touched."""
+        """A VM of a watched service is never taken down."""
         watched = FLEET_TEXT.replace('= 40', '= 0\nmode = "watched"')
         inventory = Inventory((build_vm(),))
         budgets = Budgets(build_fleet_text(watched), inventory)
 
-        verdict = budgets.judge(build_vm(), 0, _EXPECTED_S)
+        decision = budgets.check_drain(build_vm(), 0, _EXPECTED_S)
 
-        self.assertThat(verdict.refusal, Is(Refusal.WATCHED))
+        self.assertThat(decision.refusal, Is(Refusal.WATCHED))
 
     def test_time_is_spent_once(self) -> None:
-        """Time that a service was missing is not there to be spent again."""
+        """Budget time that an outage has used can't be used again."""
         source = FLEET_TEXT.replace('"zone"', '').replace('= 40', '= 48')
         text = build_fleet_text(source)
         inventory = build_inventory(text)
         budgets = Budgets(text, inventory)
         vm = build_vm()
-        self.assertThat(budgets.judge(vm, 0, 3600).is_allowed, Equals(True))
+        self.assertThat(
+            budgets.check_drain(vm, 0, 3600).is_allowed, Equals(True)
+        )
 
         inventory.put(dataclasses.replace(vm, state=VmState.DOWN))
         budgets.observe('desk', 0)
         inventory.put(vm)
         budgets.observe('desk', 3000)
 
-        verdict = budgets.judge(vm, 4000, 3600)
-        self.assertThat(verdict.refusal, Is(Refusal.TIME))
-        self.assertThat(verdict.have, Equals(600))
-        later = budgets.judge(vm, 4000 + _DAY_S, 3600)
+        decision = budgets.check_drain(vm, 4000, 3600)
+        self.assertThat(decision.refusal, Is(Refusal.TIME))
+        self.assertThat(decision.have, Equals(600))
+        later = budgets.check_drain(vm, 4000 + _DAY_S, 3600)
         self.assertThat(later.is_allowed, Equals(True))
 
     def test_new_text(self) -> None:
-        """A new text takes over what its services have spent."""
+        """Services keep the budget time already used under a new text."""
         text = build_fleet_text()
         inventory = Inventory()
         budgets = Budgets(text, inventory)
@@ -128,25 +130,27 @@
 
         budgets.apply(build_fleet_text(), 600)
 
-        self.assertThat(budgets.clocks.left_s('desk', 600), Equals(3000))
+        self.assertThat(
+            budgets.shortages.remaining_s('desk', 600), Equals(3000)
+        )
 
     def test_dependency(self) -> None:
-        """Nothing of a service goes down while what it needs is missing."""
+        """No VM of a service goes down while a dependency lacks capacity."""
         source = _TWO_POOLS.format(guard='vm', desk=8, hold=8, ratio=0.5)
         text = build_fleet_text(source)
         inventory = Inventory(_vms(random.Random(1), 12))  # noqa: S311
         budgets = Budgets(text, inventory)
-        for vm in list(inventory.members('desk')):
+        for vm in list(inventory.vms_in_pool('desk')):
             inventory.put(dataclasses.replace(vm, state=VmState.DOWN))
         budgets.observe('desk', 0)
-        held = next(inventory.members('hold'))
+        held = next(inventory.vms_in_pool('hold'))
 
-        verdict = budgets.judge(held, 1, _EXPECTED_S)
+        decision = budgets.check_drain(held, 1, _EXPECTED_S)
 
-        self.assertThat(verdict.refusal, Is(Refusal.DEPENDENCY))
+        self.assertThat(decision.refusal, Is(Refusal.DEPENDENCY))
 
     def test_limits(self) -> None:
-        """A promise that the VMs can't keep is named before it is made."""
+        """A promise that the VMs can't keep is reported as a shortfall."""
         text = build_fleet_text()
         vms = list(build_inventory(text))
         self.assertThat(spare_slots(text, vms), Equals(8))
@@ -162,7 +166,7 @@
             Equals(
                 {
                     ('desk', None): 1,
-                    # All VMs of a zone stand in one rack here.
+                    # Here each zone consists of a single rack.
                     ('', FailureDomain.RACK): 1,
                     ('', FailureDomain.ZONE): 1,
                 },
@@ -171,7 +175,7 @@
 
 
 def _faults(case: int, kind: type[Inventory]) -> Iterator[str]:
-    """Drive one random fleet and yield each budget broken by an action."""
+    """Simulate one random fleet; yield each budget violated by a drain."""
     rng = random.Random(case)  # noqa: S311 - seeded test data
     guard = rng.choice(tuple(FailureDomain))
     source = _TWO_POOLS.format(
@@ -189,9 +193,11 @@
     for step in range(30):
         vm = truth[rng.choice(sorted(truth))]
         aim = rng.choice((VmState.SERVING, VmState.DOWN, VmState.DRAINING))
-        verdict = budgets.judge(vm, step, _EXPECTED_S, may_spend=may_spend)
+        decision = budgets.check_drain(
+            vm, step, _EXPECTED_S, may_spend=may_spend
+        )
         is_ours = aim is VmState.DRAINING
-        if is_ours and not verdict.is_allowed:
+        if is_ours and not decision.is_allowed:
             continue
         truth[vm.name] = dataclasses.replace(vm, state=aim)
         inventory.put(truth[vm.name])
@@ -206,9 +212,10 @@
     pool: str,
     guard: FailureDomain,
 ) -> Iterator[str]:
-    """Yield what an action in a pool broke, with any one domain lost.
+    """Yield the budgets that a drain violates when any one domain is lost.
 
-    Another pool may have been broken by failures before.
+    Only the drained pool and the fleet are checked, as earlier failures may
+    have violated the budget of another pool.
     """
     promised = sum(service.promised_slots for service in text.services.values())
     for lost in _domains(vms, guard):
@@ -231,7 +238,7 @@
     pool: str,
     guard: FailureDomain,
 ) -> Iterator[str]:
-    """Yield also if the fleet falls short for a moment."""
+    """Yield also temporary shortfalls of the fleet."""
     yield from _broken(text, vms, pool, guard)
     promised = sum(service.promised_slots for service in text.services.values())
     for lost in _domains(vms, guard):
--- a/tests/fleet/test_budget_parts.py
+++ b/tests/fleet/test_budget_parts.py
@@ -1,4 +1,4 @@
-"""Test that cut-off zones can't exceed the budget together."""
+"""Test that partitioned zones together can't exceed the budget."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
     """Parts of the budget by zone."""
 
     def test_split(self) -> None:
-        """Whole units go where most is waiting, none where nothing is."""
+        """Zones get whole units by waiting VMs, and none without any."""
         parts = split(20, 8, {'a': 1, 'b': 9, 'c': 0})
 
         self.assertThat(dict(parts), Equals({'a': 0, 'b': 16, 'c': 0}))
 
     def test_never_exceeded(self) -> None:
-        """Zones that act on late offers never exceed the whole together."""
+        """Zones that act on late offers never exceed the total together."""
         rng = random.Random(3)  # noqa: S311 - seeded test data
         parts = {zone: ZonePart(zone) for zone in _ZONES}
         believed = dict(parts)
@@ -32,7 +32,7 @@
             wanted = {zone: rng.randrange(5) * 8 for zone in _ZONES}
             parts = dict(offer(parts, wanted, _TOTAL_SLOTS))
             sent.extend(parts.values())
-            # Offers arrive late, twice, in any order, or not at all.
+            # Offers may be delayed, duplicated, reordered or lost.
             taken = rng.choice(sent)
             if taken.version > believed[taken.zone].version:
                 believed[taken.zone] = taken
--- a/tests/fleet/test_buffer.py
+++ b/tests/fleet/test_buffer.py
@@ -1,4 +1,4 @@
-"""Test how many VMs each way of holding spare needs."""
+"""Test how many VMs each strategy for spare capacity needs."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
     """Sizes of a fleet of five pools."""
 
     def test_ways(self) -> None:
-        """Sharing needs fewer VMs than each pool alone, down to the floor."""
+        """Sharing spare capacity needs fewer VMs than holding it per pool."""
         needs = [
             PoolNeed(
                 pool=name,
                 slots=slots,
-                least_slots=slots / 2,
+                min_slots=slots / 2,
                 deferrable_slots=0,
                 services=(name,),
                 guard=FailureDomain.ZONE,
--- a/tests/fleet/test_inventory.py
+++ b/tests/fleet/test_inventory.py
@@ -1,4 +1,4 @@
-"""Test the counts that are kept beside the VMs."""
+"""Test the incrementally updated counts of the inventory."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 class TestInventory(testtools.TestCase):
-    """Counting of VMs by pool and failure domain."""
+    """Counts of slots by pool and failure domain."""
 
     def test_counts(self) -> None:
-        """After any changes each count equals one taken from scratch."""
+        """After random changes, each count equals a full recount."""
         rng = random.Random(7)  # noqa: S311 - seeded test data
         inventory = Inventory(watched_pools=('old',))
         for _ in range(_STEPS):
@@ -27,7 +27,7 @@
 
         for pool in ('desk', 'old'):
             for kind in FailureDomain:
-                counts = inventory.up(pool, kind)
+                counts = inventory.up_by_domain(pool, kind)
                 expected = self._count(inventory, pool, kind)
                 self.assertThat(counts.peak(), Equals(max(expected.values())))
                 self.assertThat(
@@ -35,18 +35,18 @@
                     Equals(sum(expected.values())),
                 )
         self.assertThat(
-            inventory.fleet_up(FailureDomain.ZONE).total_slots,
+            inventory.fleet_up_by_domain(FailureDomain.ZONE).total_slots,
             Equals(inventory.up_slots('desk')),
         )
 
     def test_peak_without(self) -> None:
-        """The largest domain can be asked for as if some slots were gone."""
+        """The largest count can be computed without some slots of a domain."""
         inventory = Inventory(
             build_vm(name=f'{zone}{number}', zone=zone)
             for zone, count in (('a', 3), ('b', 2))
             for number in range(count)
         )
-        counts = inventory.up('desk', FailureDomain.ZONE)
+        counts = inventory.up_by_domain('desk', FailureDomain.ZONE)
 
         self.assertThat(counts.peak(), Equals(24))
         self.assertThat(counts.peak('a', 16), Equals(16))
@@ -69,7 +69,7 @@
         kind: FailureDomain,
     ) -> dict[str, int]:
         counts: dict[str, int] = {}
-        for vm in inventory.members(pool):
+        for vm in inventory.vms_in_pool(pool):
             if vm.is_up:
                 key = vm.domain(kind)
                 counts[key] = counts.get(key, 0) + vm.slots
--- a/tests/fleet/test_moves.py
+++ b/tests/fleet/test_moves.py
@@ -1,4 +1,4 @@
-"""Test that VMs move only when needed, and why."""
+"""Test when VMs move between pools and how moves are explained."""
 
 from __future__ import annotations
 
@@ -25,10 +25,10 @@
 
 
 class TestMovePlanner(testtools.TestCase):
-    """Decisions on moves."""
+    """Decisions on moves between pools."""
 
     def setUp(self) -> None:
-        """Build a pool that promises 40 of 48 slots, and a spare one."""
+        """Build a pool that promises 40 of 48 slots, and a spare pool."""
         super().setUp()
         self.text = build_fleet_text()
         self.inventory = build_inventory(self.text)
@@ -38,7 +38,7 @@
         )
 
     def test_short_loss(self) -> None:
-        """VMs that come back within the grace time move nothing."""
+        """VMs that come back within the grace time trigger no move."""
         self._set('a0', VmState.DOWN, 0)
         self._set('b0', VmState.DOWN, 0)
         self._set('b0', VmState.SERVING, 200)
@@ -46,7 +46,7 @@
         self.assertThat(self._tick(_GRACE_S), HasLength(0))
 
     def test_lasting_loss(self) -> None:
-        """A promise that stays missed gets the VM that disturbs least."""
+        """A lasting shortage is covered by the VM with the least work."""
         for vm, in_flight in (('a2', 3), ('b2', 1), ('c2', 2)):
             self.planner.handle(VmWork(vm, in_flight, 0), 0)
         self._set('a0', VmState.DOWN, 0)
@@ -63,7 +63,7 @@
         )
 
     def test_depth_at_once(self) -> None:
-        """A pool below the depth gets a VM once all losses are known."""
+        """A pool below its budget's depth gets VMs without the grace time."""
         for vm in ('a0', 'b0', 'a1', 'b1'):
             self._set(vm, VmState.DOWN, 0)
 
@@ -72,7 +72,7 @@
         self.assertThat(self._tick(_GRACE_S), HasLength(2))
 
     def test_flapping(self) -> None:
-        """A VM that flaps is left where it is."""
+        """A flapping VM is not moved."""
         for at_s in (0, 10):
             self._set('b2', VmState.DOWN, at_s)
             self._set('b2', VmState.SERVING, at_s)
@@ -85,7 +85,7 @@
         self.assertThat(moved, Equals({'a2', 'c2'}))
 
     def test_lagging_usage(self) -> None:
-        """Usage measured before a move showed does not move another VM."""
+        """Usage measured before a move took effect triggers no other move."""
         moves = 0
         for at_s in range(0, 780, 60):
             report = UsageReport('desk', 46, at_s - 60)
@@ -94,7 +94,7 @@
         self.assertThat(moves, Equals(1))
 
     def test_lost_while_moving(self) -> None:
-        """A VM lost on its way stays in its old pool, another one moves."""
+        """A VM lost during its move stays in its pool; another one moves."""
         self._set('a0', VmState.DOWN, 0)
         self._set('b0', VmState.DOWN, 0)
         first = self._tick(_GRACE_S)[0].vm
--- a/tests/fleet/test_placement.py
+++ b/tests/fleet/test_placement.py
@@ -1,4 +1,4 @@
-"""Test which job runs where, and that none runs twice."""
+"""Test on which worker jobs run, and that no job runs twice."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 
 
 class TestPlacement(testtools.TestCase):
-    """Room, leases and what is never tried again."""
+    """Resources, leases and jobs that must not start again."""
 
     def test_resent(self) -> None:
         """A job that is submitted twice starts once."""
@@ -60,7 +60,7 @@
         self.assertThat(submit(placement, build_job('one')), HasLength(0))
 
     def test_never_fits(self) -> None:
-        """A job larger than any worker, even if overstated, is set aside."""
+        """A job that exceeds every worker, even if overstated, is set aside."""
         placement = build_placement(1)
 
         effects = submit(placement, build_job('huge', 16 * 6))
@@ -68,7 +68,7 @@
         self.assertThat(effects, Equals([SetAside('huge', Reason.NEVER_FITS)]))
 
     def test_overstated(self) -> None:
-        """A job that may be overstated gets a whole worker for itself."""
+        """A job declared too large for any worker may get a whole worker."""
         placement = build_placement(1)
 
         submit(placement, build_job('large', 40))
@@ -76,7 +76,7 @@
         self.assertThat(submit(placement, build_job('small', 1)), Equals([]))
 
     def test_learned(self) -> None:
-        """Reported usage lets more jobs of the same image on a worker."""
+        """Low reported usage lets more jobs of the family fit on a worker."""
         placement = build_placement(1)
         for number in range(4):
             _run(placement, f'job-{number}')
@@ -91,7 +91,7 @@
         self.assertThat(submit(placement, build_job('next')), HasLength(1))
 
     def test_late_report(self) -> None:
-        """A report measured before the start says nothing."""
+        """A usage report measured before the start is ignored."""
         placement = build_placement(1)
         submit(placement, build_job('job'), now_s=10)
         record = placement.job('job')
@@ -103,7 +103,7 @@
         self.assertThat(record.need.processors, Equals(4))
 
     def test_lost_worker(self) -> None:
-        """A job of a lost worker starts elsewhere only after its lease."""
+        """A job of a lost worker restarts only after its lease expired."""
         placement = build_placement(2)
         _run(placement, 'job')
         record = placement.job('job')
@@ -118,7 +118,7 @@
         self.assertThat(late[0], IsInstance(StartTask))
 
     def test_heard_again(self) -> None:
-        """A lost worker that is heard in time keeps its job."""
+        """A lost worker that answers before its lease expires keeps its job."""
         placement = build_placement(2)
         _run(placement, 'job')
         record = placement.job('job')
@@ -133,7 +133,7 @@
         self.assertThat(record.state, Is(JobState.RUNNING))
 
     def test_billing_lost(self) -> None:
-        """A billing run that may have run is reported, never restarted."""
+        """A non-idempotent job that may have run is reported, not restarted."""
         placement = build_placement(2)
         _run(placement, 'bill', is_idempotent=False)
         record = placement.job('bill')
@@ -149,7 +149,7 @@
         self.assertThat(again, Equals([]))
 
     def test_billing_not_started(self) -> None:
-        """A billing run that is proved not to have started starts again."""
+        """A non-idempotent job confirmed as not started is started again."""
         placement = build_placement(2)
         submit(placement, build_job('bill', is_idempotent=False))
 
@@ -158,7 +158,7 @@
         self.assertThat(effects[0], IsInstance(StartTask))
 
     def test_stale_token(self) -> None:
-        """News of an earlier lease change nothing."""
+        """A report under an earlier lease is ignored."""
         placement = build_placement(1)
         submit(placement, build_job('job'))
         first = placement.job('job')
@@ -174,7 +174,7 @@
         self.assertThat(first.need.processors, Equals(4))
 
     def test_cancellations(self) -> None:
-        """A wave of cancellations stops what runs and forgets what waits."""
+        """Bulk cancellation stops running jobs and drops waiting ones."""
         placement = build_placement(1)
         names = tuple(f'job-{number}' for number in range(100))
         for name in names:
@@ -188,7 +188,7 @@
         self.assertThat(_state(placement, 'job-0'), Is(JobState.CANCELLED))
 
     def test_drain(self) -> None:
-        """Draining checkpoints what can wait and lets the rest end."""
+        """Draining checkpoints jobs that can wait and lets the rest finish."""
         placement = build_placement(1)
         _run(placement, 'waits', can_wait=True)
         _run(placement, 'stays')
@@ -202,25 +202,25 @@
         self.assertThat(submit(placement, build_job('next')), Equals([]))
 
     def test_moved_worker(self) -> None:
-        """A worker is of its old pool until its last job there has ended."""
+        """A moved worker stays in its old pool until its last job ends."""
         placement = build_placement(1)
         _run(placement, 'job')
         moved = WorkerJoined(build_worker(0, pool='other'))
 
         placement.handle(moved, 1)
-        self.assertThat(placement.pool('other').rooms, HasLength(0))
+        self.assertThat(placement.pool('other').workers, HasLength(0))
         tell(placement, 'job', TaskEnd.FINISHED)
         placement.handle(moved, 2)
 
-        self.assertThat(placement.pool('other').rooms, HasLength(1))
-        self.assertThat(placement.pool('pool').rooms, HasLength(0))
+        self.assertThat(placement.pool('other').workers, HasLength(1))
+        self.assertThat(placement.pool('pool').workers, HasLength(0))
 
 
 class TestUrgent(testtools.TestCase):
-    """Room for urgent work, held or made."""
+    """Resources reserved for urgent jobs, or freed for them."""
 
     def test_throttled(self) -> None:
-        """Work that can wait is throttled and urgent work starts at once."""
+        """A job that can wait is throttled so that an urgent one starts."""
         placement = build_placement(1)
         _run(placement, 'waits', processors=16, can_wait=True)
 
@@ -232,7 +232,7 @@
         self.assertThat([effect.ratio for effect in restored], Equals([1]))
 
     def test_checkpointed(self) -> None:
-        """Where throttling is not enough, work is checkpointed and stopped."""
+        """A job is checkpointed and stopped if throttling is not enough."""
         placement = build_placement(1)
         large = Room(4, 32 * GIB)
         _run(placement, 'waits', can_wait=True, declared=large)
@@ -244,7 +244,7 @@
         self.assertThat([effect.job_id for effect in starts], Equals(['now']))
 
     def test_held(self) -> None:
-        """Held room is for urgent work and for work that gives way."""
+        """Reserved resources go to urgent jobs, not to ordinary ones."""
         placement = build_placement(1, held_ratio=0.25)
         for number in range(3):
             _run(placement, f'job-{number}')
@@ -255,10 +255,10 @@
 
 
 class TestQuota(testtools.TestCase):
-    """Borrowing that gives way."""
+    """Borrowing and preemption by quota."""
 
     def test_gives_way(self) -> None:
-        """A team above its quota gives way to one below that waits."""
+        """A job of a team above its quota is preempted for one below."""
         placement = build_placement(1, quotas={'lender': 8, 'other': 8})
         for number in range(4):
             _run(placement, f'loan-{number}', team='other', can_wait=True)
@@ -270,7 +270,7 @@
         self.assertThat([effect.job_id for effect in starts], Equals(['own']))
 
     def test_quota_kept(self) -> None:
-        """A team within its quota is not stopped for another."""
+        """Jobs of a team within its quota are not preempted for another."""
         placement = build_placement(1, quotas={'lender': 8, 'other': 16})
         for number in range(4):
             _run(placement, f'own-{number}', team='other', can_wait=True)
@@ -281,10 +281,10 @@
 
 
 class TestQuarantine(testtools.TestCase):
-    """Bad workers and bad jobs."""
+    """Faulty workers and faulty jobs."""
 
     def test_bad_job(self) -> None:
-        """A job that fails on three workers is set aside, no worker is."""
+        """A job that fails on three workers is set aside, without quarantine."""
         placement = build_placement(20)
         for number in range(30):
             _run(placement, f'good-{number}')
@@ -300,7 +300,7 @@
         self.assertThat(_closed(placement), Equals([]))
 
     def test_bad_worker(self) -> None:
-        """A worker that fails what runs elsewhere rests and is probed."""
+        """A worker on which other jobs fail is quarantined and probed."""
         placement = build_placement(20)
         _fail_on(placement, 'vm-0', 3)
         self.assertThat(_closed(placement), Equals(['vm-0']))
@@ -316,7 +316,7 @@
         self.assertThat(_closed(placement), Equals([]))
 
     def test_cap(self) -> None:
-        """However many workers fail, most of a pool stays in use."""
+        """The quarantined share of a pool is capped."""
         placement = build_placement(20)
 
         for number in range(20):
@@ -326,19 +326,19 @@
 
 
 def _closed(placement: Placement) -> list[str]:
-    states = placement.pool('pool').rooms.states()
+    states = placement.pool('pool').workers.states()
     return [state.worker.name for state in states if state.closed]
 
 
 def _fail_on(placement: Placement, worker: str, times: int) -> None:
-    """Let different jobs fail on one worker that run well elsewhere."""
+    """Fail jobs on one worker whose family succeeds on the others."""
     others = [
         state.worker.name
-        for state in placement.pool('pool').rooms.states()
+        for state in placement.pool('pool').workers.states()
         if state.worker.name != worker and not state.closed
     ]
     for attempt in range(times):
-        # Every other worker is full, so that the job starts on this one.
+        # All other workers are filled, so that the job starts on this one.
         for other in others:
             fill = f'{other}-{worker}-{attempt}'
             submit(placement, build_job(fill, 16))
@@ -349,9 +349,9 @@
 
 
 def _end_all(placement: Placement, failing: str) -> None:
-    """Let each running job end; those of one worker fail."""
-    for state in placement.pool('pool').rooms.states():
+    """End all running jobs; those of the failing worker fail."""
+    for state in placement.pool('pool').workers.states():
         failed = state.worker.name == failing
         change = TaskEnd.FAILED if failed else TaskEnd.FINISHED
-        for job_id in tuple(state.tenants):
+        for job_id in tuple(state.allocations):
             tell(placement, job_id, change)
--- a/tests/fleet/test_placement_invariants.py
+++ b/tests/fleet/test_placement_invariants.py
@@ -1,4 +1,4 @@
-"""Test what must always hold, whatever happens in whatever order."""
+"""Test invariants of job placement under random sequences of events."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from tests.builders_placement import GIB, build_job, build_placement
 from wigeonreach._room import Room
 from wigeonreach.fleet._placement import LEASE_S, Placement
-from wigeonreach.fleet._placement_index import RoomIndex
+from wigeonreach.fleet._placement_index import ResourceIndex
 from wigeonreach.fleet._placement_model import (
     Job,
     JobsCancelled,
@@ -41,10 +41,10 @@
 
 
 class _Platform:
-    """What tasks run, kept apart from what placement believes."""
+    """Simulated platform with its own record of the running tasks."""
 
     def __init__(self, rng: random.Random) -> None:
-        """Start with nothing running."""
+        """Start without running tasks."""
         self.rng = rng
         self.now_s = 0.0
         self.placement = build_placement(_WORKERS, quotas={'a': 8, 'b': 40})
@@ -54,7 +54,7 @@
         self.jobs: dict[str, Job] = {}
 
     def send(self, event: Any) -> None:
-        """Hand an event over and check each effect."""
+        """Send an event to the placement and check each effect."""
         for effect in self.placement.handle(event, self.now_s):
             if isinstance(effect, StartTask):
                 self._start(effect)
@@ -68,9 +68,12 @@
         assert effect.worker not in self.lost, 'started on a lost worker'
         if not job.is_idempotent:
             assert effect.job_id not in self.begun, 'billing ran twice'
-        state = self.placement.pool('pool').rooms.state(effect.worker)
+        state = self.placement.pool('pool').workers.state(effect.worker)
         used = sum(
-            (tenant.taken.memory_bytes for tenant in state.tenants.values()),
+            (
+                allocation.allocated.memory_bytes
+                for allocation in state.allocations.values()
+            ),
         )
         assert used <= state.worker.room.memory_bytes + 1, 'over its room'
         ends_s = self.now_s + LEASE_S
@@ -78,7 +81,7 @@
         self.running[effect.job_id] = task
 
     def step(self) -> None:
-        """Let one thing happen."""
+        """Advance the clock and send one random event."""
         self.now_s += self.rng.choice((0.1, 1, 20))
         self.rng.choice(
             (self._submit, self._submit, self._end, self._end, self._usage)
@@ -116,7 +119,7 @@
             self.begun.add(job_id)
         event = TaskChanged(job_id, task.token, change)
         self.send(event)
-        # Answers may come twice.
+        # Reports may be duplicated.
         self.send(event)
 
     def _usage(self) -> None:
@@ -137,7 +140,7 @@
         name = f'vm-{self.rng.randrange(_WORKERS)}'
         self.lost.discard(name)
         for task in self.running.values():
-            # The platform renews leases that have not yet ended.
+            # The platform renews only leases that have not yet expired.
             if task.worker == name and task.lease_ends_s >= self.now_s:
                 task.lease_ends_s = self.now_s + LEASE_S
         self.send(WorkerHeard(name))
@@ -163,36 +166,36 @@
 
 
 class TestInvariants(testtools.TestCase):
-    """Jobs run once, in room that is there."""
+    """Jobs run once and within the resources of their worker."""
 
     @hypothesis.seed(1)
     @hypothesis.settings(database=None, deadline=None, max_examples=150)
     @hypothesis.given(strategies.integers(0, 2**32))
     def test_any_order(self, seed: int) -> None:
-        """No order of events runs a job twice or fills a worker too full."""
+        """No event order runs a job twice or overcommits a worker's memory."""
         _run(seed)
 
     def test_finds_early_restart(self) -> None:
-        """The check sees a restart before the lease has ended."""
+        """The check detects a restart before the lease has expired."""
         with mock.patch.object(Placement, '_lease_end_s', return_value=0):
             self.assertRaises(AssertionError, _run_many)
 
     def test_finds_billing_restart(self) -> None:
-        """The check sees a billing run that starts again."""
+        """The check detects a non-idempotent job that starts again."""
         module = 'wigeonreach.fleet._placement_jobs._ENDS_WITHOUT_PROOF'
         with mock.patch(module, frozenset()):
             self.assertRaises(AssertionError, _run_many)
 
     def test_finds_full_worker(self) -> None:
-        """The check sees a job on a worker without enough memory."""
-        find = RoomIndex.find
+        """The check detects a job on a worker without enough memory."""
+        find = ResourceIndex.find
 
         def careless(
-            index: RoomIndex,
+            index: ResourceIndex,
             need: Room,
             *others: Any,
         ) -> str | None:
             return find(index, Room(need.processors, 0), *others)
 
-        with mock.patch.object(RoomIndex, 'find', careless):
+        with mock.patch.object(ResourceIndex, 'find', careless):
             self.assertRaises(AssertionError, _run_many)
--- a/tests/fleet/test_placement_losses.py
+++ b/tests/fleet/test_placement_losses.py
@@ -1,7 +1,8 @@
-"""Test what becomes of jobs whose workers are lost one after the other.
+"""Test jobs whose workers are lost one after the other.
 
-Answers jobs that bring down each worker that starts them: the worker falls
-silent, its lease ends, and the job would start on the next one, for ever.
+Guards against a job that crashes every worker that starts it: the worker
+falls silent, the lease expires, and the job would be started on the next
+worker, without end.
 """
 
 from __future__ import annotations
@@ -32,15 +33,15 @@
 )
 
 _WORKERS = 8
-# From the start of a job until its worker's lease is surely over.
+# Time after which the lease of a lost worker has certainly expired.
 _LOSS_S = 2 * LEASE_S + 10
 
 
 class TestLosses(testtools.TestCase):
-    """Workers that are lost with what they run."""
+    """Jobs that run on workers when these are lost."""
 
     def setUp(self) -> None:
-        """Begin with eight workers, each in a rack of its own."""
+        """Build eight workers, each in a rack of its own."""
         super().setUp()
         self.placement = build_placement(_WORKERS)
         for number in range(_WORKERS):
@@ -49,7 +50,7 @@
         self.now_s = 0.0
 
     def lose(self, *, ran_s: float = 0, with_rack: bool = False) -> list[Any]:
-        """Lose the job's worker; return what follows once its lease is over."""
+        """Lose the job's worker; return the effects after its lease expired."""
         tell(self.placement, 'job', TaskEnd.STARTED, self.now_s)
         lost = _worker_of(self.placement)
         self.now_s += ran_s
@@ -74,7 +75,7 @@
         return effects
 
     def test_job_that_loses_its_workers_is_set_aside(self) -> None:
-        """Three workers went down soon after they had started it."""
+        """A job is set aside after three workers were lost soon after start."""
         submit(self.placement, build_job('job'))
         for _ in range(2):
             self.assertThat(self.lose()[0], IsInstance(StartTask))
@@ -82,21 +83,21 @@
         self.assertThat(self.lose(), Equals([aside]))
 
     def test_job_that_ran_for_long_is_not_held_to_be_the_cause(self) -> None:
-        """Over months a job outlives many workers."""
+        """A long-running job survives the loss of any number of workers."""
         submit(self.placement, build_job('job'))
         for _ in range(6):
             effects = self.lose(ran_s=600)
             self.assertThat(effects[0], IsInstance(StartTask))
 
     def test_rack_that_is_lost_counts_against_no_job(self) -> None:
-        """Other workers of the rack were lost at the same time."""
+        """Losses of several workers of a rack don't count against the job."""
         submit(self.placement, build_job('job'))
         for _ in range(6):
             effects = self.lose(with_rack=True)
             self.assertThat(effects[0], IsInstance(StartTask))
 
     def test_job_that_is_done_is_forgotten(self) -> None:
-        """A later job of the same id begins without a record."""
+        """A job that finishes after two losses of workers is finished."""
         submit(self.placement, build_job('job'))
         self.lose()
         self.lose()
--- a/tests/fleet/test_waves.py
+++ b/tests/fleet/test_waves.py
@@ -1,4 +1,4 @@
-"""Test maintenance waves through stops, failures and restarts."""
+"""Test maintenance waves, including stops, failures and restarts."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
         self.most_in_desk = 0
 
     def test_every_vm_once(self) -> None:
-        """A wave takes each VM through all steps exactly once."""
+        """A wave reboots each VM exactly once and ends with all serving."""
         effects = self._run_to_end([_START])
 
         reboots = sorted(
@@ -66,7 +66,7 @@
         self.assertThat(idle[0].kind, Is(EffectKind.REBOOT))
 
     def test_drain_that_never_ends(self) -> None:
-        """Work that does not end in time is left alone, the VM goes back."""
+        """A VM whose drain times out is put back in service and skipped."""
         name = self._send(_START)[0].vm
 
         effects = self._wait(1000)
@@ -76,7 +76,7 @@
         self.assertThat(self._phase(name), Is(Phase.SKIPPED))
 
     def test_bad_image(self) -> None:
-        """A wave whose image is bad stops after its first VM."""
+        """A wave halts if its first VM is unhealthy after the reboot."""
         effects = self._send(_START)
         self._answer(effects, VmEvent.UNHEALTHY)
 
@@ -85,7 +85,7 @@
         self.assertThat(len(down), Equals(1))
 
     def test_lost_after_repair(self) -> None:
-        """A VM lost right after its repair counts as a failure."""
+        """A VM lost while settling after its reboot counts as a failure."""
         name = self._send(_START)[0].vm
         self._send(DrainProgress(name, 0, 0))
         self._send(VmReport(name, VmEvent.REBOOTED))
@@ -98,7 +98,7 @@
         self.assertThat(self._status(), Is(WaveStatus.HALTED))
 
     def test_failure_elsewhere(self) -> None:
-        """A drain is taken back when the budget has become too tight."""
+        """A drain is cancelled when other losses exhaust the budget."""
         name = self._send(_START)[0].vm
         others = [vm for vm in _VMS if vm != name]
 
@@ -111,7 +111,7 @@
         self.assertThat(self._phase(name), Is(Phase.WAITING))
 
     def test_stop_in_the_middle(self) -> None:
-        """A stop puts a draining VM back; resent starts don't begin anew."""
+        """A stop undrains a draining VM; resent commands are ignored."""
         name = self._send(_START)[0].vm
 
         effects = self._send(_STOP)
@@ -122,13 +122,13 @@
         self.assertThat(self._phase(name), Is(Phase.SKIPPED))
 
     def test_stop_overtakes_start(self) -> None:
-        """A stop that arrives before its start keeps it from beginning."""
+        """A start that arrives after its stop is ignored."""
         self._send(_STOP)
 
         self.assertThat(self._send(_START), Equals([]))
 
     def test_stale_report(self) -> None:
-        """A report that answers another attempt changes nothing."""
+        """A report that answers another attempt is ignored."""
         name = self._send(_START)[0].vm
         self._send(DrainProgress(name, 0, 0))
 
@@ -137,7 +137,7 @@
         self.assertThat(self._phase(name), Is(Phase.REBOOTING))
 
     def test_restart_in_the_middle(self) -> None:
-        """A planner that restarts asks again under the same ids only."""
+        """A restarted planner repeats its requests with the same ids."""
         before = self._send(_START)
         state = self.planner.waves['w'].state()
 
@@ -151,15 +151,15 @@
         self.assertThat(sorted(reboots), Equals(sorted(_VMS)))
 
     def test_two_waves(self) -> None:
-        """Two waves never hold more than one wave may."""
+        """Two waves together take down no more than one wave may."""
         self._run_to_end([_START, StartWave('s2', 'v', _VMS)])
 
-        # With two VMs fewer the loss of a zone would break the depth.
+        # With two VMs down, the loss of a zone would violate the depth.
         self.assertThat(self.most_in_desk, Equals(1))
         self.assertThat(self._status('v'), Is(WaveStatus.DONE))
 
     def test_cut_off_zone(self) -> None:
-        """A zone keeps to its part, and healing does nothing twice."""
+        """A partitioned zone keeps to its part; a merge repeats no VM."""
         inventory = build_inventory(self.text)
         gate = ZonePartGate(inventory, 'a', {'desk': 8, 'spare': 8})
         self.planner = self._planner(inventory, (gate,))
@@ -214,7 +214,7 @@
         commands: list[StartWave],
         effects: list[WaveEffect] | None = None,
     ) -> list[WaveEffect]:
-        """Do all that is asked for until nothing more is."""
+        """Execute all requests for 200 rounds and return all effects."""
         seen = list(effects or [])
         for command in commands:
             seen.extend(self._send(command))
@@ -230,7 +230,7 @@
         effects: list[WaveEffect],
         health: VmEvent = VmEvent.HEALTHY,
     ) -> list[WaveEffect]:
-        """Return what is asked for after some effects were done."""
+        """Execute requests and their follow-ups; return the follow-ups."""
         caused: list[WaveEffect] = []
         waiting = list(effects)
         while waiting:
