--- a/src/wigeonreach/fleet/_budget.py
+++ b/src/wigeonreach/fleet/_budget.py
@@ -216,8 +216,8 @@
         needed_s = expected_s if may_spend else float('inf')
         if need is not None:
             yield from self._pool_refusals(vm, need)
-            for missing in self.shortages.short_dependencies(need.services):
-                yield Decision(Refusal.DEPENDENCY, missing)
+            for dependency in self.shortages.short_dependencies(need.services):
+                yield Decision(Refusal.DEPENDENCY, dependency)
             if self._inventory.up_slots(vm.pool) - vm.slots < need.slots:
                 yield from self._time_refusals((need,), now_s, needed_s)
         for shortfall in self._fleet_shortfalls(vm):
@@ -280,11 +280,11 @@
             )
         up = self._inventory.fleet_up_by_domain(kind)
         remaining = left - up.peak(vm.domain(kind), vm.slots)
-        if remaining < requirement.least_slots:
+        if remaining < requirement.min_slots:
             yield _FleetShortfall(
                 kind,
                 remaining,
-                requirement.least_slots,
+                requirement.min_slots,
                 is_final=True,
             )
         if remaining < requirement.slots:
@@ -299,7 +299,7 @@
 
     kind: FailureDomain
     slots: float
-    least_slots: float
+    min_slots: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -322,5 +322,5 @@
     guarded = [need for need in needs if need.guards(kind)]
     # Deferrable work is preempted while the domain is lost.
     slots = sum(need.guarded_slots for need in guarded)
-    least_slots = sum(need.min_slots for need in guarded)
-    return _DomainRequirement(kind, slots, min(slots, least_slots))
+    min_slots = sum(need.min_slots for need in guarded)
+    return _DomainRequirement(kind, slots, min(slots, min_slots))
--- a/src/wigeonreach/fleet/_budget_services.py
+++ b/src/wigeonreach/fleet/_budget_services.py
@@ -35,12 +35,13 @@
         self._dependents: dict[str, set[str]] = {
             name: set() for name in text.services
         }
-        for name, needs in self._dependencies.items():
-            for needed in needs:
-                self._dependents[needed].add(name)
-        known = previous.histories if previous else {}
+        for name, dependencies in self._dependencies.items():
+            for dependency in dependencies:
+                self._dependents[dependency].add(name)
+        histories = previous.histories if previous else {}
         self.histories: dict[str, ShortageHistory] = {
-            name: known.get(name, ShortageHistory()) for name in text.services
+            name: histories.get(name, ShortageHistory())
+            for name in text.services
         }
         short_services = previous.short_services if previous else set()
         self.short_services: set[str] = short_services & text.services.keys()
@@ -107,5 +108,7 @@
     # In topological order, dependencies come before their dependents.
     for name in graphlib.TopologicalSorter(graph).static_order():
         direct = set(graph[name])
-        closures[name] = direct.union(*(closures[one] for one in direct))
+        closures[name] = direct.union(
+            *(closures[dependency] for dependency in direct)
+        )
     return closures
--- a/src/wigeonreach/fleet/_inventory.py
+++ b/src/wigeonreach/fleet/_inventory.py
@@ -14,7 +14,7 @@
 
 
 class Inventory:
-    """The known VMs; not safe for concurrent use by several tasks.
+    """The known VMs, owned by a single task.
 
     Adding a VM takes logarithmic time and updates every count, so that no
     decision iterates over the fleet.
--- a/src/wigeonreach/fleet/_learning.py
+++ b/src/wigeonreach/fleet/_learning.py
@@ -25,7 +25,11 @@
 
 
 class UsageEstimator:
-    """Ratios of used to declared resources, by family of jobs."""
+    """Ratios of used to declared resources, by family of jobs.
+
+    Teams often declare sizes far from the actual usage, so that placement
+    relies on reported usage instead.
+    """
 
     def __init__(self) -> None:
         """Start without any reports."""
--- a/src/wigeonreach/fleet/_moves_choice.py
+++ b/src/wigeonreach/fleet/_moves_choice.py
@@ -101,7 +101,7 @@
             ):
                 yield from (
                     vm
-                    for vm in self._some_members(pool)
+                    for vm in self._candidates_in_pool(pool)
                     if self._helps(vm, request)
                     and self.may_move(vm, request, now_s)
                 )
@@ -117,7 +117,7 @@
         """
         if request.cause is not MoveCause.MAINTENANCE:
             return
-        for vm in self._some_members(request.pool):
+        for vm in self._candidates_in_pool(request.pool):
             zone_request = dataclasses.replace(request, zone=vm.zone)
             if vm.zone != request.zone and self.may_move(
                 vm, zone_request, now_s
@@ -147,8 +147,8 @@
             return False
         need = self._budgets.needs[request.pool]
         is_emergency = request.have_slots < need.guarded_slots
-        verdict = self._budgets.check_move(vm, is_emergency=is_emergency)
-        return verdict.is_allowed
+        decision = self._budgets.check_move(vm, is_emergency=is_emergency)
+        return decision.is_allowed
 
     def cost(
         self, request: MoveRequest, vm: Vm
@@ -161,9 +161,9 @@
         needed = self._budgets.needs[vm.pool].slots
         return work.in_flight, work.checkpointable, needed, in_zone, vm.name
 
-    def _some_members(self, pool: str) -> list[Vm]:
-        members = self._inventory.vms_in_pool(pool)
-        return list(itertools.islice(members, _CANDIDATES_PER_POOL))
+    def _candidates_in_pool(self, pool: str) -> list[Vm]:
+        vms = self._inventory.vms_in_pool(pool)
+        return list(itertools.islice(vms, _CANDIDATES_PER_POOL))
 
     def _helps(self, vm: Vm, request: MoveRequest) -> bool:
         if request.cause is not MoveCause.MAINTENANCE:
--- a/src/wigeonreach/fleet/_moves_planner.py
+++ b/src/wigeonreach/fleet/_moves_planner.py
@@ -12,8 +12,8 @@
 from wigeonreach.fleet._model import Vm, VmState
 from wigeonreach.fleet._moves_choice import (
     MaintenanceView,
-    MoveSelector,
     MoveRequest,
+    MoveSelector,
 )
 from wigeonreach.fleet._moves_damping import PoolDemand, VmHistory
 from wigeonreach.fleet._moves_model import (
@@ -141,7 +141,7 @@
 
     @_handle.register
     def _on_tick(self, message: Tick, now_s: float) -> None:
-        """Change no state; handling any message also plans moves."""
+        """Do nothing but let moves be planned for the new time."""
 
     def _plan(self, now_s: float) -> Iterator[MoveRecord]:
         for known in self._budgets.needs:
@@ -188,8 +188,8 @@
     def _expected_slots(self, pool: str) -> int:
         """Return the slots up, under maintenance and moving to the pool."""
         incoming = self._incoming[pool] - self._outgoing[pool]
-        held = self._inventory.pool_maintained_slots(pool)
-        return self._inventory.up_slots(pool) + held + incoming
+        maintained = self._inventory.pool_maintained_slots(pool)
+        return self._inventory.up_slots(pool) + maintained + incoming
 
     def _fulfil(self, request: MoveRequest, now_s: float) -> MoveRecord | None:
         candidates = list(self._selector.candidates(request, now_s))
--- a/src/wigeonreach/fleet/_placement.py
+++ b/src/wigeonreach/fleet/_placement.py
@@ -32,7 +32,7 @@
 )
 from wigeonreach.fleet._placement_pool import CloseReason
 from wigeonreach.fleet._placement_pools import Pools
-from wigeonreach.fleet._placement_queue import SchedulingCycle, PoolScheduler
+from wigeonreach.fleet._placement_queue import PoolScheduler, SchedulingCycle
 from wigeonreach.fleet._quarantine import Quarantine
 
 LEASE_S = 30.0
@@ -295,8 +295,8 @@
         self._schedule_expiry(record, self._lease_end_s(record))
 
     def _lease_end_s(self, record: JobRecord) -> float:
-        rooms = self.pool(record.job.pool).workers
-        heard_until_s = rooms.state(record.worker).heard_s + LEASE_S
+        workers = self.pool(record.job.pool).workers
+        heard_until_s = workers.state(record.worker).heard_s + LEASE_S
         return max(heard_until_s, record.lease_ends_s) + _CLOCK_MARGIN_S
 
     def _schedule_expiry(self, record: JobRecord, ends_s: float) -> None:
--- a/src/wigeonreach/fleet/_placement_jobs.py
+++ b/src/wigeonreach/fleet/_placement_jobs.py
@@ -84,7 +84,8 @@
         if next_state is None:
             raise ChartError(
                 ResultCode.CHART_NO_TRANSITION,
-                f'{self.job.job_id}: {event} while {self.state}',
+                f'job {self.job.job_id!r}: no transition for event {event}'
+                f' in state {self.state}',
             )
         self.state = JobState(next_state)
 
--- a/src/wigeonreach/fleet/_placement_pool.py
+++ b/src/wigeonreach/fleet/_placement_pool.py
@@ -227,8 +227,8 @@
         room = state.worker.room
         self._total.put(name, room)
         free = state.free
-        held = room.scaled(self._held_ratio, 0)
-        self._put(self._ordinary, state, free - Room(held.processors, 0))
+        reserved = room.scaled(self._held_ratio, 0)
+        self._put(self._ordinary, state, free - Room(reserved.processors, 0))
         self._put(self._free, state, free)
         self._put(self._after_throttling, state, free + state.throttleable)
         self._put(self._after_stopping, state, free + state.stoppable)
--- a/src/wigeonreach/fleet/_placement_queue.py
+++ b/src/wigeonreach/fleet/_placement_queue.py
@@ -16,9 +16,9 @@
     TaskEnd,
 )
 from wigeonreach.fleet._placement_pool import (
+    Allocation,
     CloseReason,
     PoolWorkers,
-    Allocation,
 )
 from wigeonreach.fleet._placement_yield import RoomMaker
 from wigeonreach.fleet._quarantine import Quarantine
--- a/src/wigeonreach/fleet/_placement_yield.py
+++ b/src/wigeonreach/fleet/_placement_yield.py
@@ -15,8 +15,8 @@
 )
 from wigeonreach.fleet._placement_pool import (
     THROTTLE_RATIO,
-    PoolWorkers,
     Allocation,
+    PoolWorkers,
 )
 from wigeonreach.fleet._quota import QuotaTracker
 
@@ -28,18 +28,18 @@
 
     Parameters
     ----------
-    rooms, quota, jobs
+    workers, quota, jobs
         The pool's workers, the quotas of its teams and all jobs by id.
     """
 
     def __init__(
         self,
-        rooms: PoolWorkers,
+        workers: PoolWorkers,
         quota: QuotaTracker,
         jobs: Mapping[str, JobRecord],
     ) -> None:
         """Keep references to the pool's state."""
-        self._rooms = rooms
+        self._workers = workers
         self._quota = quota
         self._jobs = jobs
 
@@ -55,18 +55,18 @@
         tuple
             The worker, or ``None`` if there is none, and the effects.
         """
-        worker = self._rooms.find_throttled(need, excluded)
+        worker = self._workers.find_throttled(need, excluded)
         if worker is None:
             return None, []
         return worker, self._throttle(worker, need)
 
     def stop_for(self, need: Room, excluded: Container[str]) -> list[Effect]:
         """Checkpoint and stop jobs of one worker, so that a need will fit."""
-        worker = self._rooms.find_stopped(need, excluded)
+        worker = self._workers.find_stopped(need, excluded)
         if worker is None:
             return []
         effects: list[Effect] = []
-        state = self._rooms.state(worker)
+        state = self._workers.state(worker)
         expected_free = state.free
         for allocation in tuple(state.allocations.values()):
             if expected_free.holds(need):
@@ -83,7 +83,7 @@
             borrower = self._jobs[job_id]
             if borrower.state is not JobState.RUNNING:
                 continue
-            free = self._rooms.state(borrower.worker).free + borrower.need
+            free = self._workers.state(borrower.worker).free + borrower.need
             if free.holds(need):
                 return [self.stop(borrower, Reason.GAVE_WAY)]
         return []
@@ -94,9 +94,9 @@
         record.reason = reason
         job = record.job
         self._quota.mark_preemptible(job.team, job.job_id, is_running=False)
-        allocation = self._rooms.state(record.worker).allocations[job.job_id]
+        allocation = self._workers.state(record.worker).allocations[job.job_id]
         # A job that is already stopping can't be preempted again.
-        self._rooms.allocate(
+        self._workers.allocate(
             record.worker,
             dataclasses.replace(allocation, is_preemptible=False),
         )
@@ -109,15 +109,15 @@
 
     def throttle_overloaded(self, worker: str) -> list[Effect]:
         """Throttle preemptible jobs if a worker's processors are exceeded."""
-        if self._rooms.state(worker).free.processors >= 0:
+        if self._workers.state(worker).free.processors >= 0:
             return []
         return self._throttle(worker, NO_ROOM)
 
     def lift_throttling(self, worker: str) -> list[Effect]:
         """Lift the throttling of a worker's jobs as far as they fit."""
-        if worker not in self._rooms:
+        if worker not in self._workers:
             return []
-        state = self._rooms.state(worker)
+        state = self._workers.state(worker)
         effects: list[Effect] = []
         for allocation in tuple(state.allocations.values()):
             missing_processors = allocation.need.processors * (
@@ -129,7 +129,7 @@
 
     def _throttle(self, worker: str, need: Room) -> list[Effect]:
         effects: list[Effect] = []
-        state = self._rooms.state(worker)
+        state = self._workers.state(worker)
         for allocation in tuple(state.allocations.values()):
             if state.free.holds(need):
                 break
@@ -139,7 +139,7 @@
 
     def _set_ratio(self, allocation: Allocation, ratio: float) -> ThrottleTask:
         record = self._jobs[allocation.job_id]
-        self._rooms.allocate(
+        self._workers.allocate(
             record.worker,
             dataclasses.replace(allocation, ratio=ratio),
         )
--- a/src/wigeonreach/fleet/_quota.py
+++ b/src/wigeonreach/fleet/_quota.py
@@ -113,11 +113,11 @@
                 yield job_id
 
     def _index_team(self, team: str) -> None:
-        share = self.usage_ratio(team)
+        ratio = self.usage_ratio(team)
         if self._waiting.get(team):
-            self._waiting_teams.add((share, team))
-        if share > 1 and self._preemptible.get(team):
-            self._borrowers.add((share, team))
+            self._waiting_teams.add((ratio, team))
+        if ratio > 1 and self._preemptible.get(team):
+            self._borrowers.add((ratio, team))
 
     def _unindex_team(self, team: str) -> None:
         entry = (self.usage_ratio(team), team)
--- a/src/wigeonreach/fleet/_waves_gates.py
+++ b/src/wigeonreach/fleet/_waves_gates.py
@@ -5,7 +5,7 @@
 import dataclasses
 from typing import Protocol
 
-from wigeonreach.fleet._budget import ALLOWED, Refusal, Decision
+from wigeonreach.fleet._budget import ALLOWED, Decision, Refusal
 from wigeonreach.fleet._inventory import Inventory
 from wigeonreach.fleet._model import Vm
 
--- a/src/wigeonreach/fleet/_waves_planner.py
+++ b/src/wigeonreach/fleet/_waves_planner.py
@@ -8,7 +8,7 @@
 import itertools
 from collections.abc import Iterable, Mapping, Sequence
 
-from wigeonreach.fleet._budget import ALLOWED, Budgets, Refusal, Decision
+from wigeonreach.fleet._budget import ALLOWED, Budgets, Decision, Refusal
 from wigeonreach.fleet._inventory import Inventory
 from wigeonreach.fleet._model import Vm, VmState
 from wigeonreach.fleet._waves_chart import VmEvent
--- a/tests/builders_placement.py
+++ b/tests/builders_placement.py
@@ -46,7 +46,7 @@
     return placement.handle(JobSubmitted(job), now_s)
 
 
-def tell(
+def report_task(
     placement: Placement,
     job_id: str,
     change: TaskEnd,
--- a/tests/fleet/test_budget.py
+++ b/tests/fleet/test_budget.py
@@ -77,17 +77,19 @@
     @seed(5)
     @settings(max_examples=150, deadline=None, database=None)
     @given(st.integers(min_value=0, max_value=10**6))
-    def test_own_actions_never_break(self, case: int) -> None:
+    def test_drains_never_violate(self, case: int) -> None:
         """No allowed drain violates a budget when a guarded domain is lost."""
-        self.assertThat(list(_faults(case, Inventory)), Equals([]))
+        self.assertThat(list(_violations(case, Inventory)), Equals([]))
 
-    def test_planted_faults_are_found(self) -> None:
+    def test_detects_injected_faults(self) -> None:
         """The check detects inventories that ignore failures or domains."""
-        for planted in (ForgetsDownInventory, ForgetsDomainInventory):
+        for faulty in (ForgetsDownInventory, ForgetsDomainInventory):
             found = [
-                fault for case in range(60) for fault in _faults(case, planted)
+                fault
+                for case in range(60)
+                for fault in _violations(case, faulty)
             ]
-            self.assertNotEqual([], found, planted.__name__)
+            self.assertNotEqual([], found, faulty.__name__)
 
     def test_watched(self) -> None:
         """A VM of a watched service is never taken down."""
@@ -174,7 +176,7 @@
         )
 
 
-def _faults(case: int, kind: type[Inventory]) -> Iterator[str]:
+def _violations(case: int, kind: type[Inventory]) -> Iterator[str]:
     """Simulate one random fleet; yield each budget violated by a drain."""
     rng = random.Random(case)  # noqa: S311 - seeded test data
     guard = rng.choice(tuple(FailureDomain))
@@ -186,27 +188,27 @@
     )
     text = build_fleet_text(source)
     may_spend = rng.choice((True, False))
-    truth = {vm.name: vm for vm in _vms(rng, rng.randrange(6, 24))}
-    inventory = kind(truth.values())
+    vms = {vm.name: vm for vm in _vms(rng, rng.randrange(6, 24))}
+    inventory = kind(vms.values())
     budgets = Budgets(text, inventory)
-    check = _broken if may_spend else _missing
+    check = _violated_budgets if may_spend else _shortfalls
     for step in range(30):
-        vm = truth[rng.choice(sorted(truth))]
-        aim = rng.choice((VmState.SERVING, VmState.DOWN, VmState.DRAINING))
+        vm = vms[rng.choice(sorted(vms))]
+        state = rng.choice((VmState.SERVING, VmState.DOWN, VmState.DRAINING))
         decision = budgets.check_drain(
             vm, step, _EXPECTED_S, may_spend=may_spend
         )
-        is_ours = aim is VmState.DRAINING
-        if is_ours and not decision.is_allowed:
+        is_drain = state is VmState.DRAINING
+        if is_drain and not decision.is_allowed:
             continue
-        truth[vm.name] = dataclasses.replace(vm, state=aim)
-        inventory.put(truth[vm.name])
+        vms[vm.name] = dataclasses.replace(vm, state=state)
+        inventory.put(vms[vm.name])
         budgets.observe(vm.pool, step)
-        if is_ours and vm.is_up:
-            yield from check(text, list(truth.values()), vm.pool, guard)
+        if is_drain and vm.is_up:
+            yield from check(text, list(vms.values()), vm.pool, guard)
 
 
-def _broken(
+def _violated_budgets(
     text: FleetText,
     vms: list[Vm],
     pool: str,
@@ -221,9 +223,9 @@
     for lost in _domains(vms, guard):
         rest = [vm for vm in vms if _domain(vm, guard) != lost]
         left = [vm for vm in rest if vm.is_up]
-        at_last = [vm for vm in rest if vm.is_up or vm.is_maintained]
-        if sum(vm.slots for vm in at_last) < promised:
-            yield f'fleet at last without {lost}'
+        eventually_up = [vm for vm in rest if vm.is_up or vm.is_maintained]
+        if sum(vm.slots for vm in eventually_up) < promised:
+            yield f'fleet after maintenance without {lost}'
         for service in text.services.values():
             have = sum(vm.slots for vm in left if vm.pool == service.pool)
             ratio = 1 - service.budget.missing_ratio
@@ -232,19 +234,19 @@
                 yield f'{service.name} without {lost}'
 
 
-def _missing(
+def _shortfalls(
     text: FleetText,
     vms: list[Vm],
     pool: str,
     guard: FailureDomain,
 ) -> Iterator[str]:
     """Yield also temporary shortfalls of the fleet."""
-    yield from _broken(text, vms, pool, guard)
+    yield from _violated_budgets(text, vms, pool, guard)
     promised = sum(service.promised_slots for service in text.services.values())
     for lost in _domains(vms, guard):
         left = [vm for vm in vms if _domain(vm, guard) != lost and vm.is_up]
         if sum(vm.slots for vm in left) < promised:
-            yield f'fleet without {lost}'
+            yield f'fleet during maintenance without {lost}'
 
 
 def _domains(vms: list[Vm], guard: FailureDomain) -> set[tuple[str, ...]]:
--- a/tests/fleet/test_budget_parts.py
+++ b/tests/fleet/test_budget_parts.py
@@ -26,7 +26,7 @@
         """Zones that act on late offers never exceed the total together."""
         rng = random.Random(3)  # noqa: S311 - seeded test data
         parts = {zone: ZonePart(zone) for zone in _ZONES}
-        believed = dict(parts)
+        accepted = dict(parts)
         sent: list[ZonePart] = []
         for _ in range(2000):
             wanted = {zone: rng.randrange(5) * 8 for zone in _ZONES}
@@ -34,12 +34,12 @@
             sent.extend(parts.values())
             # Offers may be delayed, duplicated, reordered or lost.
             taken = rng.choice(sent)
-            if taken.version > believed[taken.zone].version:
-                believed[taken.zone] = taken
+            if taken.version > accepted[taken.zone].version:
+                accepted[taken.zone] = taken
             if rng.choice((True, False)):
-                known = believed[taken.zone]
+                known = accepted[taken.zone]
                 parts = dict(acknowledge(parts, known.zone, known.version))
 
-            in_use = sum(part.offered_slots for part in believed.values())
+            in_use = sum(part.offered_slots for part in accepted.values())
             self.assertTrue(in_use <= _TOTAL_SLOTS)
             self.assertTrue(in_use <= held_slots(parts.values()))
--- a/tests/fleet/test_inventory.py
+++ b/tests/fleet/test_inventory.py
@@ -22,7 +22,7 @@
         rng = random.Random(7)  # noqa: S311 - seeded test data
         inventory = Inventory(watched_pools=('old',))
         for _ in range(_STEPS):
-            inventory.put(self._any_vm(rng))
+            inventory.put(self._random_vm(rng))
             inventory.remove(f'vm-{rng.randrange(40)}')
 
         for pool in ('desk', 'old'):
@@ -52,7 +52,7 @@
         self.assertThat(counts.peak('a', 16), Equals(16))
         self.assertThat(counts.peak('b', 16), Equals(24))
 
-    def _any_vm(self, rng: random.Random) -> Vm:
+    def _random_vm(self, rng: random.Random) -> Vm:
         return build_vm(
             name=f'vm-{rng.randrange(40)}',
             zone=rng.choice(ZONES),
--- a/tests/fleet/test_placement.py
+++ b/tests/fleet/test_placement.py
@@ -10,8 +10,8 @@
     build_job,
     build_placement,
     build_worker,
+    report_task,
     submit,
-    tell,
 )
 from wigeonreach._room import Room
 from wigeonreach.fleet._placement import LEASE_S, Placement
@@ -44,13 +44,13 @@
 
 def _run(placement: Placement, job_id: str, **changes: object) -> None:
     submit(placement, build_job(job_id, **changes))  # type: ignore[arg-type]
-    tell(placement, job_id, TaskEnd.STARTED)
+    report_task(placement, job_id, TaskEnd.STARTED)
 
 
 class TestPlacement(testtools.TestCase):
     """Resources, leases and jobs that must not start again."""
 
-    def test_resent(self) -> None:
+    def test_duplicate_submission(self) -> None:
         """A job that is submitted twice starts once."""
         placement = build_placement(1)
 
@@ -117,7 +117,7 @@
         self.assertThat(late, HasLength(1))
         self.assertThat(late[0], IsInstance(StartTask))
 
-    def test_heard_again(self) -> None:
+    def test_worker_answers_again(self) -> None:
         """A lost worker that answers before its lease expires keeps its job."""
         placement = build_placement(2)
         _run(placement, 'job')
@@ -127,12 +127,12 @@
 
         placement.handle(WorkerHeard(record.worker), 20)
         effects = placement.handle(Tick(), _AFTER_LEASE_S)
-        tell(placement, 'job', TaskEnd.STARTED, 40)
+        report_task(placement, 'job', TaskEnd.STARTED, 40)
 
         self.assertThat(effects, Equals([]))
         self.assertThat(record.state, Is(JobState.RUNNING))
 
-    def test_billing_lost(self) -> None:
+    def test_non_idempotent_lost(self) -> None:
         """A non-idempotent job that may have run is reported, not restarted."""
         placement = build_placement(2)
         _run(placement, 'bill', is_idempotent=False)
@@ -148,12 +148,12 @@
         again = submit(placement, build_job('bill', is_idempotent=False), 99)
         self.assertThat(again, Equals([]))
 
-    def test_billing_not_started(self) -> None:
+    def test_non_idempotent_not_started(self) -> None:
         """A non-idempotent job confirmed as not started is started again."""
         placement = build_placement(2)
         submit(placement, build_job('bill', is_idempotent=False))
 
-        effects = tell(placement, 'bill', TaskEnd.NOT_STARTED)
+        effects = report_task(placement, 'bill', TaskEnd.NOT_STARTED)
 
         self.assertThat(effects[0], IsInstance(StartTask))
 
@@ -164,7 +164,7 @@
         first = placement.job('job')
         assert first is not None
         old_token = first.lease_token
-        tell(placement, 'job', TaskEnd.NOT_STARTED)
+        report_task(placement, 'job', TaskEnd.NOT_STARTED)
 
         self.assertThat(first.lease_token > old_token, Is(True))
         self.assertThat(
@@ -184,7 +184,7 @@
 
         self.assertThat(effects, HasLength(4))
         self.assertThat(_state(placement, 'job-99'), Is(JobState.CANCELLED))
-        tell(placement, 'job-0', TaskEnd.STOPPED)
+        report_task(placement, 'job-0', TaskEnd.STOPPED)
         self.assertThat(_state(placement, 'job-0'), Is(JobState.CANCELLED))
 
     def test_drain(self) -> None:
@@ -209,7 +209,7 @@
 
         placement.handle(moved, 1)
         self.assertThat(placement.pool('other').workers, HasLength(0))
-        tell(placement, 'job', TaskEnd.FINISHED)
+        report_task(placement, 'job', TaskEnd.FINISHED)
         placement.handle(moved, 2)
 
         self.assertThat(placement.pool('other').workers, HasLength(1))
@@ -228,7 +228,7 @@
 
         self.assertThat(effects[0], IsInstance(ThrottleTask))
         self.assertThat(effects[1], IsInstance(StartTask))
-        restored = tell(placement, 'now', TaskEnd.FINISHED)
+        restored = report_task(placement, 'now', TaskEnd.FINISHED)
         self.assertThat([effect.ratio for effect in restored], Equals([1]))
 
     def test_checkpointed(self) -> None:
@@ -238,12 +238,12 @@
         _run(placement, 'waits', can_wait=True, declared=large)
 
         stops = submit(placement, build_job('now', is_urgent=True))
-        starts = tell(placement, 'waits', TaskEnd.STOPPED, 1)
+        starts = report_task(placement, 'waits', TaskEnd.STOPPED, 1)
 
         self.assertThat([effect.job_id for effect in stops], Equals(['waits']))
         self.assertThat([effect.job_id for effect in starts], Equals(['now']))
 
-    def test_held(self) -> None:
+    def test_reserved_resources(self) -> None:
         """Reserved resources go to urgent jobs, not to ordinary ones."""
         placement = build_placement(1, held_ratio=0.25)
         for number in range(3):
@@ -257,19 +257,19 @@
 class TestQuota(testtools.TestCase):
     """Borrowing and preemption by quota."""
 
-    def test_gives_way(self) -> None:
+    def test_preemption_by_quota(self) -> None:
         """A job of a team above its quota is preempted for one below."""
         placement = build_placement(1, quotas={'lender': 8, 'other': 8})
         for number in range(4):
             _run(placement, f'loan-{number}', team='other', can_wait=True)
 
         stops = submit(placement, build_job('own', team='lender'))
-        starts = tell(placement, 'loan-3', TaskEnd.STOPPED, 1)
+        starts = report_task(placement, 'loan-3', TaskEnd.STOPPED, 1)
 
         self.assertThat([effect.job_id for effect in stops], Equals(['loan-3']))
         self.assertThat([effect.job_id for effect in starts], Equals(['own']))
 
-    def test_quota_kept(self) -> None:
+    def test_no_preemption_within_quota(self) -> None:
         """Jobs of a team within its quota are not preempted for another."""
         placement = build_placement(1, quotas={'lender': 8, 'other': 16})
         for number in range(4):
@@ -288,12 +288,12 @@
         placement = build_placement(20)
         for number in range(30):
             _run(placement, f'good-{number}')
-            tell(placement, f'good-{number}', TaskEnd.FINISHED)
+            report_task(placement, f'good-{number}', TaskEnd.FINISHED)
         submit(placement, build_job('bad', family='broken'))
 
-        tell(placement, 'bad', TaskEnd.FAILED)
-        tell(placement, 'bad', TaskEnd.FAILED)
-        effects = tell(placement, 'bad', TaskEnd.FAILED)
+        report_task(placement, 'bad', TaskEnd.FAILED)
+        report_task(placement, 'bad', TaskEnd.FAILED)
+        effects = report_task(placement, 'bad', TaskEnd.FAILED)
 
         aside = SetAside('bad', Reason.FAILS_EVERYWHERE)
         self.assertThat(effects, Equals([aside]))
@@ -312,10 +312,10 @@
         assert record is not None
         self.assertThat(record.worker, Equals('vm-0'))
         self.assertThat(_closed(placement), Equals(['vm-0']))
-        tell(placement, 'probe', TaskEnd.FINISHED, 70)
+        report_task(placement, 'probe', TaskEnd.FINISHED, 70)
         self.assertThat(_closed(placement), Equals([]))
 
-    def test_cap(self) -> None:
+    def test_quarantine_cap(self) -> None:
         """The quarantined share of a pool is capped."""
         placement = build_placement(20)
 
@@ -354,4 +354,4 @@
         failed = state.worker.name == failing
         change = TaskEnd.FAILED if failed else TaskEnd.FINISHED
         for job_id in tuple(state.allocations):
-            tell(placement, job_id, change)
+            report_task(placement, job_id, change)
--- a/tests/fleet/test_placement_invariants.py
+++ b/tests/fleet/test_placement_invariants.py
@@ -180,7 +180,7 @@
         with mock.patch.object(Placement, '_lease_end_s', return_value=0):
             self.assertRaises(AssertionError, _run_many)
 
-    def test_finds_billing_restart(self) -> None:
+    def test_finds_non_idempotent_restart(self) -> None:
         """The check detects a non-idempotent job that starts again."""
         module = 'wigeonreach.fleet._placement_jobs._ENDS_WITHOUT_PROOF'
         with mock.patch(module, frozenset()):
@@ -190,12 +190,12 @@
         """The check detects a job on a worker without enough memory."""
         find = ResourceIndex.find
 
-        def careless(
+        def find_ignoring_memory(
             index: ResourceIndex,
             need: Room,
             *others: Any,
         ) -> str | None:
             return find(index, Room(need.processors, 0), *others)
 
-        with mock.patch.object(ResourceIndex, 'find', careless):
+        with mock.patch.object(ResourceIndex, 'find', find_ignoring_memory):
             self.assertRaises(AssertionError, _run_many)
--- a/tests/fleet/test_placement_losses.py
+++ b/tests/fleet/test_placement_losses.py
@@ -16,8 +16,8 @@
     build_job,
     build_placement,
     build_worker,
+    report_task,
     submit,
-    tell,
 )
 from wigeonreach.fleet._placement import LEASE_S, Placement
 from wigeonreach.fleet._placement_jobs import JobState
@@ -51,7 +51,7 @@
 
     def lose(self, *, ran_s: float = 0, with_rack: bool = False) -> list[Any]:
         """Lose the job's worker; return the effects after its lease expired."""
-        tell(self.placement, 'job', TaskEnd.STARTED, self.now_s)
+        report_task(self.placement, 'job', TaskEnd.STARTED, self.now_s)
         lost = _worker_of(self.placement)
         self.now_s += ran_s
         others = {f'vm-{number}' for number in range(_WORKERS)} - {lost}
@@ -74,7 +74,7 @@
             self.placement.handle(WorkerJoined(back), self.now_s)
         return effects
 
-    def test_job_that_loses_its_workers_is_set_aside(self) -> None:
+    def test_sets_aside_job_that_loses_workers(self) -> None:
         """A job is set aside after three workers were lost soon after start."""
         submit(self.placement, build_job('job'))
         for _ in range(2):
@@ -82,14 +82,14 @@
         aside = SetAside('job', Reason.LOSES_WORKERS)
         self.assertThat(self.lose(), Equals([aside]))
 
-    def test_job_that_ran_for_long_is_not_held_to_be_the_cause(self) -> None:
+    def test_keeps_job_that_ran_long(self) -> None:
         """A long-running job survives the loss of any number of workers."""
         submit(self.placement, build_job('job'))
         for _ in range(6):
             effects = self.lose(ran_s=600)
             self.assertThat(effects[0], IsInstance(StartTask))
 
-    def test_rack_that_is_lost_counts_against_no_job(self) -> None:
+    def test_ignores_loss_of_rack(self) -> None:
         """Losses of several workers of a rack don't count against the job."""
         submit(self.placement, build_job('job'))
         for _ in range(6):
@@ -101,8 +101,8 @@
         submit(self.placement, build_job('job'))
         self.lose()
         self.lose()
-        tell(self.placement, 'job', TaskEnd.STARTED, self.now_s)
-        tell(self.placement, 'job', TaskEnd.FINISHED, self.now_s)
+        report_task(self.placement, 'job', TaskEnd.STARTED, self.now_s)
+        report_task(self.placement, 'job', TaskEnd.FINISHED, self.now_s)
         record = self.placement.job('job')
         assert record is not None
         self.assertThat(record.state, Equals(JobState.FINISHED))
--- a/tests/fleet/test_waves.py
+++ b/tests/fleet/test_waves.py
@@ -84,7 +84,7 @@
         down = [vm for vm in self.inventory if not vm.is_up]
         self.assertThat(len(down), Equals(1))
 
-    def test_lost_after_repair(self) -> None:
+    def test_lost_while_settling(self) -> None:
         """A VM lost while settling after its reboot counts as a failure."""
         name = self._send(_START)[0].vm
         self._send(DrainProgress(name, 0, 0))
@@ -97,7 +97,7 @@
         self.assertThat(self._phase(name), Is(Phase.FAILED))
         self.assertThat(self._status(), Is(WaveStatus.HALTED))
 
-    def test_failure_elsewhere(self) -> None:
+    def test_recall_after_other_losses(self) -> None:
         """A drain is cancelled when other losses exhaust the budget."""
         name = self._send(_START)[0].vm
         others = [vm for vm in _VMS if vm != name]
@@ -158,7 +158,7 @@
         self.assertThat(self.most_in_desk, Equals(1))
         self.assertThat(self._status('v'), Is(WaveStatus.DONE))
 
-    def test_cut_off_zone(self) -> None:
+    def test_partitioned_zone(self) -> None:
         """A partitioned zone keeps to its part; a merge repeats no VM."""
         inventory = build_inventory(self.text)
         gate = ZonePartGate(inventory, 'a', {'desk': 8, 'spare': 8})
@@ -166,14 +166,14 @@
         self.inventory = inventory
         self._run_to_end([_START])
         wave = self.planner.waves['w']
-        mine = wave.state()
+        zone_state = wave.state()
         done = [vm for vm in _VMS if self._phase(vm) is Phase.MAINTAINED]
         self.assertThat(done, Equals(['a0', 'a1', 'a2']))
 
         self.planner = self._planner(build_inventory(self.text))
         self._send(_START)
         wave = self.planner.waves['w']
-        merged = merge_states(wave.state(), mine)
+        merged = merge_states(wave.state(), zone_state)
         self.planner = self._planner(build_inventory(self.text))
         self.inventory = self.planner_inventory
         effects = self.planner.restore((merged,), self.now_s)
