--- a/src/wigeonreach/fleet/_budget_services.py
+++ b/src/wigeonreach/fleet/_budget_services.py
@@ -5,7 +5,7 @@
 import graphlib
 from collections.abc import Iterable, Iterator
 
-from wigeonreach.fleet._budget_clock import ShortageHistory
+from wigeonreach.fleet._budget_history import ShortageHistory
 from wigeonreach.text import FleetText
 
 
--- a/src/wigeonreach/fleet/_moves_choice.py
+++ b/src/wigeonreach/fleet/_moves_candidates.py
@@ -10,7 +10,7 @@
 from wigeonreach.fleet._budget import Budgets
 from wigeonreach.fleet._inventory import Inventory
 from wigeonreach.fleet._model import Vm
-from wigeonreach.fleet._moves_damping import PoolDemand, VmHistory
+from wigeonreach.fleet._moves_demand import PoolDemand, VmHistory
 from wigeonreach.fleet._moves_exchange import frees_vm_in_zone
 from wigeonreach.fleet._moves_model import MoveCause, MoveSettings, VmWork
 from wigeonreach.text import FailureDomain
--- a/src/wigeonreach/fleet/_moves_planner.py
+++ b/src/wigeonreach/fleet/_moves_planner.py
@@ -10,12 +10,12 @@
 from wigeonreach.fleet._budget import Budgets
 from wigeonreach.fleet._inventory import Inventory
 from wigeonreach.fleet._model import Vm, VmState
-from wigeonreach.fleet._moves_choice import (
+from wigeonreach.fleet._moves_candidates import (
     MaintenanceView,
     MoveRequest,
     MoveSelector,
 )
-from wigeonreach.fleet._moves_damping import PoolDemand, VmHistory
+from wigeonreach.fleet._moves_demand import PoolDemand, VmHistory
 from wigeonreach.fleet._moves_model import (
     MoveCause,
     MoveEnded,
--- a/src/wigeonreach/fleet/_placement.py
+++ b/src/wigeonreach/fleet/_placement.py
@@ -6,7 +6,7 @@
 import heapq
 from collections.abc import Iterable, Mapping
 
-from wigeonreach.fleet._learning import UsageEstimator
+from wigeonreach.fleet._job_usage import UsageEstimator
 from wigeonreach.fleet._placement_ends import TaskEndHandler
 from wigeonreach.fleet._placement_jobs import (
     DONE_STATES,
@@ -32,7 +32,10 @@
 )
 from wigeonreach.fleet._placement_pool import CloseReason
 from wigeonreach.fleet._placement_pools import Pools
-from wigeonreach.fleet._placement_queue import PoolScheduler, SchedulingCycle
+from wigeonreach.fleet._placement_scheduler import (
+    PoolScheduler,
+    SchedulingCycle,
+)
 from wigeonreach.fleet._quarantine import Quarantine
 
 LEASE_S = 30.0
--- a/src/wigeonreach/fleet/_placement_ends.py
+++ b/src/wigeonreach/fleet/_placement_ends.py
@@ -19,7 +19,7 @@
     TaskEnd,
 )
 from wigeonreach.fleet._placement_pool import CloseReason
-from wigeonreach.fleet._placement_queue import PoolScheduler
+from wigeonreach.fleet._placement_scheduler import PoolScheduler
 from wigeonreach.fleet._quarantine import Quarantine
 
 # Submissions are resent within minutes, in which far fewer jobs end.
--- a/src/wigeonreach/fleet/_placement_pools.py
+++ b/src/wigeonreach/fleet/_placement_pools.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Iterable, Mapping
 
-from wigeonreach.fleet._learning import UsageEstimator
+from wigeonreach.fleet._job_usage import UsageEstimator
 from wigeonreach.fleet._placement_jobs import JobRecord
-from wigeonreach.fleet._placement_queue import PoolScheduler
+from wigeonreach.fleet._placement_scheduler import PoolScheduler
 from wigeonreach.fleet._quarantine import Quarantine
 
 
--- a/src/wigeonreach/fleet/_placement_queue.py
+++ b/src/wigeonreach/fleet/_placement_scheduler.py
@@ -7,7 +7,7 @@
 from collections.abc import Mapping
 
 from wigeonreach._room import NO_ROOM, Room
-from wigeonreach.fleet._learning import UsageEstimator
+from wigeonreach.fleet._job_usage import UsageEstimator
 from wigeonreach.fleet._placement_jobs import JobEvent, JobRecord
 from wigeonreach.fleet._placement_model import (
     Effect,
--- a/src/wigeonreach/fleet/_waves_planner.py
+++ b/src/wigeonreach/fleet/_waves_planner.py
@@ -12,7 +12,7 @@
 from wigeonreach.fleet._inventory import Inventory
 from wigeonreach.fleet._model import Vm, VmState
 from wigeonreach.fleet._waves_chart import VmEvent
-from wigeonreach.fleet._waves_flight import ActiveVms
+from wigeonreach.fleet._waves_execution import ActiveVms
 from wigeonreach.fleet._waves_gates import Gate
 from wigeonreach.fleet._waves_model import (
     DrainProgress,
