--- a/src/wigeonreach/fleet/_budget_parts.py
+++ b/src/wigeonreach/fleet/_budget_parts.py
@@ -114,8 +114,8 @@
     part = parts.get(zone)
     if part is None or part.version != version:
         return parts
-    taken = dataclasses.replace(part, held_slots=part.offered_slots)
-    return MappingProxyType({**parts, zone: taken})
+    accepted = dataclasses.replace(part, held_slots=part.offered_slots)
+    return MappingProxyType({**parts, zone: accepted})
 
 
 def held_slots(parts: Iterable[ZonePart]) -> int:
--- a/src/wigeonreach/fleet/_moves_planner.py
+++ b/src/wigeonreach/fleet/_moves_planner.py
@@ -28,7 +28,7 @@
 )
 from wigeonreach.fleet._waves_model import Tick
 
-_RECORDS_KEPT = 1000
+_MAX_RECORDS = 1000
 _RETRY_S = 10.0
 
 Message = UsageReport | VmChanged | VmWork | WantSpare | MoveEnded | Tick
@@ -59,7 +59,7 @@
     ) -> None:
         """Start without moves."""
         self.records: collections.deque[MoveRecord] = collections.deque(
-            maxlen=_RECORDS_KEPT,
+            maxlen=_MAX_RECORDS,
         )
         self._inventory = inventory
         self._budgets = budgets
--- a/src/wigeonreach/fleet/_waves_planner.py
+++ b/src/wigeonreach/fleet/_waves_planner.py
@@ -34,7 +34,7 @@
 from wigeonreach.text import Maintenance
 
 # Groups of zone and pool checked on one event; bounds the cost of an event.
-_HEADS_PER_EVENT = 16
+_GROUPS_PER_EVENT = 16
 _DAY_S = 86_400.0
 
 
@@ -265,7 +265,7 @@
         steps = (
             self._try_grant(wave, head, now_s)
             for wave in self._open_waves
-            for head in wave.queue.heads(_HEADS_PER_EVENT)
+            for head in wave.queue.heads(_GROUPS_PER_EVENT)
         )
         return list(itertools.chain.from_iterable(steps))
 
--- a/src/wigeonreach/fleet/_waves_wave.py
+++ b/src/wigeonreach/fleet/_waves_wave.py
@@ -16,7 +16,7 @@
 )
 from wigeonreach.fleet._waves_queue import WaveQueue
 
-_COMMANDS_KEPT = 64
+_MAX_COMMANDS = 64
 _ENDED = frozenset((WaveStatus.STOPPED, WaveStatus.DONE))
 
 
@@ -59,7 +59,7 @@
             maxlen=settings.halt_window,
         )
         self._successes = collections.Counter(dict(state.successes))
-        self._commands = collections.deque(state.commands, _COMMANDS_KEPT)
+        self._commands = collections.deque(state.commands, _MAX_COMMANDS)
 
     @property
     def is_ended(self) -> bool:
@@ -69,8 +69,8 @@
     @property
     def step_size(self) -> int:
         """Largest number of VMs that may be active at once."""
-        grown = 1 + self._successes.total()
-        return min(grown, self._settings.max_at_once)
+        size = 1 + self._successes.total()
+        return min(size, self._settings.max_at_once)
 
     def state(self) -> WaveState:
         """Return the state that must survive a restart."""
--- a/tests/fleet/test_placement_losses.py
+++ b/tests/fleet/test_placement_losses.py
@@ -83,7 +83,7 @@
         self.assertThat(self.lose(), Equals([aside]))
 
     def test_keeps_job_that_ran_long(self) -> None:
-        """A long-running job survives the loss of any number of workers."""
+        """A long-running job isn't blamed: over months it outlives workers."""
         submit(self.placement, build_job('job'))
         for _ in range(6):
             effects = self.lose(ran_s=600)
@@ -96,7 +96,7 @@
             effects = self.lose(with_rack=True)
             self.assertThat(effects[0], IsInstance(StartTask))
 
-    def test_job_that_is_done_is_forgotten(self) -> None:
+    def test_job_finishes_after_losses(self) -> None:
         """A job that finishes after two losses of workers is finished."""
         submit(self.placement, build_job('job'))
         self.lose()
