--- a/src/wigeonreach/entry/_admission.py
+++ b/src/wigeonreach/entry/_admission.py
@@ -56,8 +56,8 @@
 
     def upper_bound_s(self, now_s: float) -> float:
         """Return a bound that nearly every request keeps, in seconds."""
-        needed_s = self._mean_s + _BOUND_DEVIATIONS * self._deviation_s
-        return needed_s * self._decay(now_s)
+        bound_s = self._mean_s + _BOUND_DEVIATIONS * self._deviation_s
+        return bound_s * self._decay(now_s)
 
     def _decay(self, now_s: float) -> float:
         idle_s = now_s - self._last_sample_s
--- a/src/wigeonreach/entry/_attempt.py
+++ b/src/wigeonreach/entry/_attempt.py
@@ -133,10 +133,10 @@
             If there is no complete response in time.  Its outcome is "not
             run" only if not one byte was sent or the target itself says so.
         """
-        left_s = max(0, request.due_s - time.monotonic())
+        remaining_s = max(0, request.due_s - time.monotonic())
         try:
-            async with asyncio.timeout(left_s):
-                return await self._send(request, address, left_s)
+            async with asyncio.timeout(remaining_s):
+                return await self._send(request, address, remaining_s)
         except _UNREACHABLE_ERRORS as unreachable:
             raise AttemptFailedError(
                 ResultCode.REQUEST_TARGET_UNREACHABLE,
@@ -154,13 +154,13 @@
         self,
         request: CallerRequest,
         address: str,
-        left_s: float,
+        remaining_s: float,
     ) -> TargetAnswer:
         assert self._session is not None  # noqa: S101
         # Header names are case-insensitive, so a caller's own header is
         # replaced whatever its case.
         headers = multidict.CIMultiDict(request.headers)
-        headers[DEADLINE_HEADER] = str(int(left_s * _MS_PER_S))
+        headers[DEADLINE_HEADER] = str(int(remaining_s * _MS_PER_S))
         sent_s = time.monotonic()
         headers[REQUEST_ID_HEADER] = (
             f'{self._id_prefix}-{next(self._request_numbers)}'
@@ -172,7 +172,7 @@
             headers=headers,
             timeout=aiohttp.ClientTimeout(
                 total=None,
-                connect=min(_CONNECT_TIMEOUT_S, left_s),
+                connect=min(_CONNECT_TIMEOUT_S, remaining_s),
             ),
             # A redirect is passed to the caller; following it would send a
             # second request.
--- a/src/wigeonreach/entry/_daemon.py
+++ b/src/wigeonreach/entry/_daemon.py
@@ -15,10 +15,10 @@
 from wigeonreach.entry._credits import WORK_GRACE_S, Sharer
 from wigeonreach.entry._credits_daemon import CreditDaemon
 from wigeonreach.entry._gate import Gate
-from wigeonreach.entry._lifecycle import Lifecycle, Step
+from wigeonreach.entry._lifecycle import Lifecycle, LifecycleEvent
 from wigeonreach.entry._listener import Listener, end_idle_connections
 from wigeonreach.entry._membership import Membership
-from wigeonreach.entry._pages import ServicePages
+from wigeonreach.entry._pages import EntryEndpoints
 from wigeonreach.entry._peers import PeerExchange
 from wigeonreach.entry._proxy import Proxy
 from wigeonreach.entry._routing import Router
@@ -123,9 +123,9 @@
 
     async def drain(self) -> None:
         """Withdraw readiness, then wait until no request is in flight."""
-        self._lifecycle.take(Step.TOLD_TO_STOP)
+        self._lifecycle.apply(LifecycleEvent.TOLD_TO_STOP)
         await asyncio.sleep(self._settings.readiness_notice_s)
-        self._lifecycle.take(Step.NOTICE_GIVEN)
+        self._lifecycle.apply(LifecycleEvent.NOTICE_GIVEN)
         deadline_s = time.monotonic() + self._settings.max_deadline_s
         await self._wait_until_idle(deadline_s)
         if self._listener is not None:
@@ -136,10 +136,10 @@
         await self._wait_until_idle(deadline_s)
         aborted = self._count_in_flight()
         if aborted:
-            self._lifecycle.take(Step.BOUND_PASSED)
+            self._lifecycle.apply(LifecycleEvent.BOUND_PASSED)
             self._log.warning(LogEvent.DRAIN_CUT_OFF, requests=aborted)
         else:
-            self._lifecycle.take(Step.NOTHING_IN_FLIGHT)
+            self._lifecycle.apply(LifecycleEvent.NOTHING_IN_FLIGHT)
             self._log.info(LogEvent.DRAIN_FINISHED)
 
     async def on_stop(self) -> None:
@@ -159,7 +159,7 @@
         return self._gate.in_flight + self._proxy.forwarded_in_flight
 
     async def _become_ready(self) -> None:
-        """Become ready once in contact with peers and targets, or timed out."""
+        """Wait for contact with peers and targets, then become ready."""
         now_s = time.monotonic()
         deadline_s = now_s + _PEER_SYNC_TIMEOUT_S
         while now_s < deadline_s:
@@ -168,7 +168,7 @@
                 break
             await self.sleep(_POLL_S)
             now_s = time.monotonic()
-        self._lifecycle.take(Step.LEARNED)
+        self._lifecycle.apply(LifecycleEvent.LEARNED)
 
     def _build_sharer(self) -> Sharer:
         settings = self._settings
@@ -193,7 +193,7 @@
             middlewares=(self._gate.handle,),
         )
         tell_versions(application, self._config, self._metrics)
-        ServicePages(
+        EntryEndpoints(
             settings=self._settings,
             config=self._config,
             membership=self._membership,
--- a/src/wigeonreach/entry/_demand.py
+++ b/src/wigeonreach/entry/_demand.py
@@ -29,7 +29,7 @@
         """Whether a request found no slot a short time ago."""
         return now_s - self.last_unmet_s < _UNMET_WINDOW_S
 
-    def since_unanswered_ask_s(self, lender: str, now_s: float) -> float:
+    def unanswered_for_s(self, lender: str, now_s: float) -> float:
         """Return the time since a lender's unanswered request, in seconds."""
         return now_s - self.unanswered_since_s.get(lender, _NEVER_S)
 
@@ -67,12 +67,12 @@
 
     def may_ask(self, service: str, lender: str, now_s: float) -> bool:
         """Whether a lender of this zone may be asked for slots now."""
-        elapsed_s = self._demands[service].since_unanswered_ask_s(lender, now_s)
+        elapsed_s = self._demands[service].unanswered_for_s(lender, now_s)
         return elapsed_s >= _ZONE_RETRY_INTERVAL_S
 
     def may_ask_far(self, service: str, lender: str, now_s: float) -> bool:
         """Whether a lender of another zone may be asked for slots now."""
-        elapsed_s = self._demands[service].since_unanswered_ask_s(lender, now_s)
+        elapsed_s = self._demands[service].unanswered_for_s(lender, now_s)
         return elapsed_s >= _FOREIGN_RETRY_INTERVAL_S
 
     def note_asked(self, service: str, lender: str, now_s: float) -> None:
--- a/src/wigeonreach/entry/_dispatch.py
+++ b/src/wigeonreach/entry/_dispatch.py
@@ -12,8 +12,8 @@
 from wigeonreach.entry._request import CallerRequest
 from wigeonreach.entry._retry import (
     FailedAttempt,
-    RetryRefusal,
     RetryBudget,
+    RetryRefusal,
     decide_retry,
 )
 from wigeonreach.entry._slot_queue import SlotProvider, SlotQueue
@@ -22,7 +22,7 @@
 from wigeonreach.observe import Metrics
 
 
-def _never() -> bool:
+def _never_disconnected() -> bool:
     return False
 
 
@@ -40,8 +40,8 @@
     ----------
     router
         Allocates the slots of targets.
-    attempts
-        Client that sends requests to targets.
+    client
+        Sends requests to targets.
     metrics
         Counters of retries and of retries not made.
     rng
@@ -51,13 +51,13 @@
     def __init__(
         self,
         router: SlotProvider,
-        attempts: AttemptRunner,
+        client: AttemptRunner,
         metrics: Metrics,
         rng: random.Random,
     ) -> None:
         """Start without queues; one is created per service on first use."""
         self._router = router
-        self._attempts = attempts
+        self._client = client
         self._metrics = metrics
         self._rng = rng
         self._queues: dict[str, SlotQueue] = {}
@@ -66,7 +66,7 @@
     async def run(
         self,
         request: CallerRequest,
-        is_disconnected: Callable[[], bool] = _never,
+        is_disconnected: Callable[[], bool] = _never_disconnected,
     ) -> TargetAnswer:
         """Run a request and return the target's complete response.
 
@@ -138,7 +138,7 @@
         # If this task is cancelled, the target may still be working.
         ending = Ending.ABANDONED
         try:
-            answer = await self._attempts.run(request, slot.address)
+            answer = await self._client.run(request, slot.address)
         except AttemptFailedError as failed:
             ending = Ending.GIVEN_UP
             if failed.outcome is Outcome.NOT_RUN:
--- a/src/wigeonreach/entry/_ejection.py
+++ b/src/wigeonreach/entry/_ejection.py
@@ -146,13 +146,13 @@
         Restrictions
             The targets to leave out and the targets to probe.
         """
-        failed = self._ejected_first_to_last(service_targets)
-        if not failed:
+        restricted = self._restricted(service_targets)
+        if not restricted:
             return _NO_RESTRICTIONS
         ejected = frozenset(
-            key for key in failed if now_s < self._health[key].probe_from_s
+            key for key in restricted if now_s < self._health[key].probe_from_s
         )
-        return Restrictions(ejected, frozenset(failed) - ejected)
+        return Restrictions(ejected, frozenset(restricted) - ejected)
 
     def ejected_targets(self) -> frozenset[TargetKey]:
         """Return all targets that were ejected and not restored since."""
@@ -168,15 +168,13 @@
             key: health for key, health in self._health.items() if key in known
         }
 
-    def _ejected_first_to_last(
-        self, targets: Sequence[TargetKey]
-    ) -> list[TargetKey]:
-        failed = [
+    def _restricted(self, targets: Sequence[TargetKey]) -> list[TargetKey]:
+        restricted = [
             key for key in targets if self.health(key).ejected_s is not None
         ]
-        failed.sort(key=self._ejected_s)
+        restricted.sort(key=self._ejected_s)
         max_ejected = int(len(targets) * _MAX_EJECTED_RATIO)
-        return failed[:max_ejected]
+        return restricted[:max_ejected]
 
     def _ejected_s(self, key: TargetKey) -> float:
         return self.health(key).ejected_s or 0
--- a/src/wigeonreach/entry/_gate.py
+++ b/src/wigeonreach/entry/_gate.py
@@ -49,14 +49,14 @@
             await asyncio.Event().wait()
         self.in_flight += 1
         try:
-            reply = await self._handle(request, handler)
+            reply = await self._dispatch(request, handler)
         finally:
             self.in_flight -= 1
         if self._lifecycle.is_stopping:
             reply.force_close()
         return reply
 
-    async def _handle(
+    async def _dispatch(
         self,
         request: web.Request,
         handler: Handler,
--- a/src/wigeonreach/entry/_lifecycle.py
+++ b/src/wigeonreach/entry/_lifecycle.py
@@ -17,7 +17,7 @@
     CLOSING = 'closing'
 
 
-class Step(enum.StrEnum):
+class LifecycleEvent(enum.StrEnum):
     """Events of ``charts/entry_lifecycle.yaml``."""
 
     LEARNED = 'learned'
@@ -50,8 +50,8 @@
         """Whether new requests are accepted."""
         return self.phase not in {Phase.REFUSING, Phase.CLOSING}
 
-    def take(self, step: Step) -> None:
+    def apply(self, event: LifecycleEvent) -> None:
         """Apply an event; one without a transition in the chart is ignored."""
-        target = self._chart.step(self.phase.value, step.value)
+        target = self._chart.step(self.phase.value, event.value)
         if target is not None:
             self.phase = Phase(target)
--- a/src/wigeonreach/entry/_pages.py
+++ b/src/wigeonreach/entry/_pages.py
@@ -40,7 +40,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ServicePages:
+class EntryEndpoints:
     """All endpoints of an entry except those for callers' requests."""
 
     settings: EntrySettings
--- a/src/wigeonreach/entry/_proxy.py
+++ b/src/wigeonreach/entry/_proxy.py
@@ -9,8 +9,8 @@
 
 from wigeonreach.codes import ResultCode
 from wigeonreach.entry._attempt import (
-    TargetClient,
     StateCallback,
+    TargetClient,
     ignore_state,
 )
 from wigeonreach.entry._body_budget import BodyBudget
@@ -55,7 +55,7 @@
     router
         Allocates the slots of targets.
     metrics
-        Counters of responses by result code.
+        Counters of responses and of refused key requests.
     rng
         Source of random choices.
     peers
--- a/src/wigeonreach/entry/_queue.py
+++ b/src/wigeonreach/entry/_queue.py
@@ -30,7 +30,7 @@
     def __init__(self, team: str, weight: float, virtual_start: float) -> None:
         self.team = team
         self.weight = weight
-        self.start = virtual_start
+        self.virtual_start = virtual_start
         self.urgent: collections.deque[Ticket] = collections.deque()
         self.ordinary: collections.deque[Ticket] = collections.deque()
 
@@ -55,15 +55,17 @@
     def drop_last(self) -> Ticket:
         return (self.ordinary or self.urgent).pop()
 
-    def retain(self, kept: frozenset[int]) -> None:
+    def retain(self, kept_numbers: frozenset[int]) -> None:
         for waiting in (self.urgent, self.ordinary):
-            still = [ticket for ticket in waiting if ticket.number in kept]
+            remaining = [
+                ticket for ticket in waiting if ticket.number in kept_numbers
+            ]
             waiting.clear()
-            waiting.extend(still)
+            waiting.extend(remaining)
 
 
-def _scheduling_key(lane: _TeamQueue) -> tuple[float, str]:
-    return lane.start, lane.team
+def _scheduling_key(team_queue: _TeamQueue) -> tuple[float, str]:
+    return team_queue.virtual_start, team_queue.team
 
 
 class FairQueue:
@@ -107,8 +109,8 @@
             ordinary one of the team with the most requests per weight, which
             can be the one that was just added.
         """
-        lane = self._teams.get(ticket.team) or self._add_team(ticket)
-        lane.append(ticket)
+        team_queue = self._teams.get(ticket.team) or self._add_team(ticket)
+        team_queue.append(ticket)
         self._length += 1
         if self._length <= self._max_length:
             return None
@@ -118,22 +120,22 @@
         """Remove and return the next request, or None if the queue is empty."""
         if not self._order:
             return None
-        lane = self._order.pop(0)
-        ticket: Ticket = lane.popleft()
+        team_queue = self._order.pop(0)
+        ticket: Ticket = team_queue.popleft()
         self._length -= 1
-        self._virtual_time = lane.start
-        lane.start += 1 / lane.weight
-        if lane:
-            self._order.add(lane)
+        self._virtual_time = team_queue.virtual_start
+        team_queue.virtual_start += 1 / team_queue.weight
+        if team_queue:
+            self._order.add(team_queue)
         else:
-            self._teams.pop(lane.team)
+            self._teams.pop(team_queue.team)
         return ticket
 
     def remove(self, ticket: Ticket) -> None:
         """Remove one request; does nothing if it is not queued."""
-        lane = self._teams.get(ticket.team)
-        if lane is not None and ticket in tuple(lane):
-            self._remove_from(lane, [ticket])
+        team_queue = self._teams.get(ticket.team)
+        if team_queue is not None and ticket in tuple(team_queue):
+            self._remove_from(team_queue, [ticket])
 
     def remove_expired(self, before_s: float) -> list[Ticket]:
         """Remove every request whose deadline is before a given time.
@@ -149,11 +151,13 @@
             The removed requests.
         """
         removed: list[Ticket] = []
-        for lane in tuple(self._teams.values()):
-            expired = [ticket for ticket in lane if ticket.due_s < before_s]
+        for team_queue in tuple(self._teams.values()):
+            expired = [
+                ticket for ticket in team_queue if ticket.due_s < before_s
+            ]
             if expired:
                 removed.extend(expired)
-                self._remove_from(lane, expired)
+                self._remove_from(team_queue, expired)
         return removed
 
     def estimate_ahead(
@@ -178,36 +182,40 @@
             own_ahead = len(own.urgent) if is_urgent else len(own)
         virtual_span = (own_ahead + 1) / weight
         from_others = sum(
-            min(len(lane), virtual_span * lane.weight)
-            for lane in self._teams.values()
-            if lane is not own
+            min(len(team_queue), virtual_span * team_queue.weight)
+            for team_queue in self._teams.values()
+            if team_queue is not own
         )
         return own_ahead + from_others
 
     def _add_team(self, ticket: Ticket) -> _TeamQueue:
-        lane = _TeamQueue(ticket.team, ticket.weight, self._virtual_time)
-        lane.start += 1 / ticket.weight
-        self._teams[ticket.team] = lane
-        self._order.add(lane)
-        return lane
-
-    def _drop_from(self, lane: _TeamQueue) -> Ticket:
-        dropped = lane.drop_last()
+        team_queue = _TeamQueue(ticket.team, ticket.weight, self._virtual_time)
+        team_queue.virtual_start += 1 / ticket.weight
+        self._teams[ticket.team] = team_queue
+        self._order.add(team_queue)
+        return team_queue
+
+    def _drop_from(self, team_queue: _TeamQueue) -> Ticket:
+        dropped = team_queue.drop_last()
         self._length -= 1
-        self._remove_team_if_empty(lane)
+        self._remove_team_if_empty(team_queue)
         return dropped
 
-    def _remove_from(self, lane: _TeamQueue, expired: list[Ticket]) -> None:
+    def _remove_from(
+        self, team_queue: _TeamQueue, expired: list[Ticket]
+    ) -> None:
         removed = {ticket.number for ticket in expired}
-        lane.retain(frozenset(ticket.number for ticket in lane) - removed)
+        team_queue.retain(
+            frozenset(ticket.number for ticket in team_queue) - removed
+        )
         self._length -= len(expired)
-        self._remove_team_if_empty(lane)
+        self._remove_team_if_empty(team_queue)
 
-    def _remove_team_if_empty(self, lane: _TeamQueue) -> None:
-        if not lane:
-            self._order.remove(lane)
-            self._teams.pop(lane.team)
+    def _remove_team_if_empty(self, team_queue: _TeamQueue) -> None:
+        if not team_queue:
+            self._order.remove(team_queue)
+            self._teams.pop(team_queue.team)
 
 
-def _weighted_length(lane: _TeamQueue) -> float:
-    return lane.weighted_length
+def _weighted_length(team_queue: _TeamQueue) -> float:
+    return team_queue.weighted_length
--- a/src/wigeonreach/entry/_request_reading.py
+++ b/src/wigeonreach/entry/_request_reading.py
@@ -28,7 +28,7 @@
     web.RequestPayloadError,
     OSError,
 )
-_UNNAMED_TEAMS = Team(name='', weight=1.0, quota_processors=0, urgent_ratio=0)
+_UNLISTED_TEAM = Team(name='', weight=1.0, quota_processors=0, urgent_ratio=0)
 
 
 async def read_request(
@@ -96,7 +96,7 @@
         raise _bad_header(TEAM_HEADER, f'{_MAX_TEAM_CHARACTERS} characters')
     # Teams that are not configured share one weight, so that a caller can't
     # gain capacity by inventing team names.
-    return text.teams.get(name, _UNNAMED_TEAMS)
+    return text.teams.get(name, _UNLISTED_TEAM)
 
 
 def _timeout_s(request: web.Request, service: Service) -> float:
--- a/src/wigeonreach/entry/_routing.py
+++ b/src/wigeonreach/entry/_routing.py
@@ -116,15 +116,15 @@
         now_s
             Monotonic time of this process, in seconds.
         """
-        taken = self._acquired.pop(slot.number, None)
-        if taken is None:
+        acquired = self._acquired.pop(slot.number, None)
+        if acquired is None:
             return
-        self._decrement_in_flight(taken.key)
+        self._decrement_in_flight(acquired.key)
         free_from_s = now_s
         if ending.may_still_work:
             free_from_s = slot.acquired_s + self._work_bound_s(slot.service)
-        taken.source.give_back(free_from_s)
-        self._ejector.health(taken.key).record(ending, now_s)
+        acquired.source.give_back(free_from_s)
+        self._ejector.health(acquired.key).record(ending, now_s)
 
     def is_served(self, service: str, now_s: float) -> bool:
         """Whether any target of a service may receive requests or be lent."""
@@ -194,7 +194,7 @@
         now_s: float,
     ) -> list[_Candidate]:
         keys = [_target_key(record) for record in records]
-        judgement = self._ejector.restrictions(keys, now_s)
+        restrictions = self._ejector.restrictions(keys, now_s)
         candidates = (
             self._candidate(record, key, now_s)
             for record, key in zip(records, keys, strict=True)
@@ -203,7 +203,7 @@
         return [
             candidate
             for candidate in candidates
-            if _is_eligible(judgement, candidate)
+            if _is_eligible(restrictions, candidate)
             and candidate.in_flight
             < candidate.record.connections // self._sharer.entries
         ]
@@ -238,17 +238,17 @@
         )
 
     def _decrement_in_flight(self, key: TargetKey) -> None:
-        left = self._in_flight[key] - 1
-        if left:
-            self._in_flight[key] = left
+        remaining = self._in_flight[key] - 1
+        if remaining:
+            self._in_flight[key] = remaining
         else:
             self._in_flight.pop(key)
 
 
-def _is_eligible(judgement: Restrictions, candidate: _Candidate) -> bool:
-    if candidate.key in judgement.ejected:
+def _is_eligible(restrictions: Restrictions, candidate: _Candidate) -> bool:
+    if candidate.key in restrictions.ejected:
         return False
-    return not (candidate.in_flight and candidate.key in judgement.probed)
+    return not (candidate.in_flight and candidate.key in restrictions.probed)
 
 
 def _target_key(record: TargetRecord) -> TargetKey:
--- a/src/wigeonreach/entry/_slot_queue.py
+++ b/src/wigeonreach/entry/_slot_queue.py
@@ -14,8 +14,8 @@
 from wigeonreach.entry._admission import (
     Load,
     ServiceTimeEstimate,
-    can_finish_queued,
     can_finish_now,
+    can_finish_queued,
     retry_after_s,
 )
 from wigeonreach.entry._queue import FairQueue, Ticket
@@ -211,8 +211,8 @@
     def _check(self) -> None:
         self._check_timer = None
         now_s = time.monotonic()
-        needed_s = self.service_time.upper_bound_s(now_s)
-        for ticket in self._queue.remove_expired(now_s + needed_s):
+        bound_s = self.service_time.upper_bound_s(now_s)
+        for ticket in self._queue.remove_expired(now_s + bound_s):
             self._refuse(ticket, ResultCode.REQUEST_DEADLINE_PASSED)
         is_assigned = True
         while is_assigned and len(self._queue):
--- a/tests/entry/test_admission.py
+++ b/tests/entry/test_admission.py
@@ -10,8 +10,8 @@
 from wigeonreach.entry._admission import (
     Load,
     ServiceTimeEstimate,
-    can_finish_queued,
     can_finish_now,
+    can_finish_queued,
     retry_after_s,
 )
 
--- a/tests/entry/test_attempt.py
+++ b/tests/entry/test_attempt.py
@@ -9,8 +9,8 @@
 import testtools
 
 from tests.entry.misbehaving_target import (
-    STATUS_LINE,
     COMPLETE_RESPONSE,
+    STATUS_LINE,
     MisbehavingTarget,
 )
 from wigeonreach.codes import Outcome, ResultCode
@@ -63,12 +63,12 @@
 
 
 async def _attempt(
-    attempts: TargetClient,
+    client: TargetClient,
     address: str,
     request: CallerRequest,
 ) -> _Result:
     try:
-        answer = await attempts.run(request, address)
+        answer = await client.run(request, address)
     except AttemptFailedError as failed:
         return _Result(failed.outcome, failed.code)
     return _Result(Outcome.RAN, ResultCode.OK, answer.body)
@@ -80,15 +80,15 @@
 ) -> list[_Result]:
     server = await asyncio.start_server(target.accept, '127.0.0.1', 0)
     host, port = server.sockets[0].getsockname()
-    attempts = TargetClient(max_answer_bytes=64)
-    await attempts.open()
+    client = TargetClient(max_answer_bytes=64)
+    await client.open()
     try:
         return [
-            await _attempt(attempts, f'{host}:{port}', request)
+            await _attempt(client, f'{host}:{port}', request)
             for request in requests
         ]
     finally:
-        await attempts.close()
+        await client.close()
         server.close()
 
 
@@ -197,12 +197,12 @@
         """A request whose connection was refused certainly did not run."""
 
         async def send() -> _Result:
-            attempts = TargetClient()
-            await attempts.open()
+            client = TargetClient()
+            await client.open()
             try:
-                return await _attempt(attempts, '127.0.0.1:1', _request('GET'))
+                return await _attempt(client, '127.0.0.1:1', _request('GET'))
             finally:
-                await attempts.close()
+                await client.close()
 
         self.assertEqual(
             _Result(Outcome.NOT_RUN, ResultCode.REQUEST_TARGET_UNREACHABLE),
--- a/tests/entry/test_dispatch.py
+++ b/tests/entry/test_dispatch.py
@@ -57,17 +57,17 @@
         return True
 
 
-class FakeAttempts:
-    """Attempts that end with a given outcome for each target."""
+class FakeTargetClient:
+    """Client whose attempts end with a given outcome for each target."""
 
     def __init__(self, failures: dict[str, Outcome]) -> None:
         """Store the failures; all other targets respond."""
         self._failures = failures
-        self.asked: list[str] = []
+        self.addresses: list[str] = []
 
     async def run(self, request: CallerRequest, address: str) -> TargetAnswer:
         """Respond, or fail with the target's outcome."""
-        self.asked.append(address)
+        self.addresses.append(address)
         outcome = self._failures.get(address)
         if outcome is None:
             return _ANSWER
@@ -83,39 +83,39 @@
 
     def test_other_target_after_not_run(self) -> None:
         """A request that did not run is sent to another target."""
-        attempts = FakeAttempts({'one': Outcome.NOT_RUN})
-        dispatcher, metrics = _dispatcher(FakeRouter('one', 'two'), attempts)
+        client = FakeTargetClient({'one': Outcome.NOT_RUN})
+        dispatcher, metrics = _dispatcher(FakeRouter('one', 'two'), client)
         answer = asyncio.run(dispatcher.run(build_request('POST')))
         self.assertThat(answer, Is(_ANSWER))
-        self.assertThat(attempts.asked, Equals(['one', 'two']))
+        self.assertThat(client.addresses, Equals(['one', 'two']))
         self.assertThat(metrics.counted('retries', 'not_run'), Equals(1))
 
     def test_caller_disconnected(self) -> None:
         """A request whose caller disconnected releases its slot unused."""
-        attempts = FakeAttempts({})
+        client = FakeTargetClient({})
         router = FakeRouter('one')
-        dispatcher, _ = _dispatcher(router, attempts)
+        dispatcher, _ = _dispatcher(router, client)
         running = dispatcher.run(build_request('POST'), lambda: True)
         refused = self.assertRaises(RequestRefusedError, asyncio.run, running)
         self.assertThat(refused.code, Equals(ResultCode.REQUEST_CALLER_GONE))
-        self.assertThat(attempts.asked, Equals([]))
+        self.assertThat(client.addresses, Equals([]))
         self.assertThat(router.endings, Equals([Ending.UNUSED]))
 
     def test_no_second_run_unless_idempotent(self) -> None:
         """A request that may have run is retried only if idempotent."""
-        for method, asked in (('POST', ['one']), ('GET', ['one', 'two'])):
-            attempts = FakeAttempts({'one': Outcome.UNKNOWN})
+        for method, addresses in (('POST', ['one']), ('GET', ['one', 'two'])):
+            client = FakeTargetClient({'one': Outcome.UNKNOWN})
             router = FakeRouter('one', 'two')
-            dispatcher, _ = _dispatcher(router, attempts)
+            dispatcher, _ = _dispatcher(router, client)
             _run(dispatcher, build_request(method))
-            self.assertThat(attempts.asked, Equals(asked))
+            self.assertThat(client.addresses, Equals(addresses))
 
     def test_unknown_outcome_is_kept(self) -> None:
         """A failed retry does not hide that an earlier attempt may have run."""
-        attempts = FakeAttempts(
+        client = FakeTargetClient(
             {'one': Outcome.UNKNOWN, 'two': Outcome.NOT_RUN},
         )
-        dispatcher, metrics = _dispatcher(FakeRouter('one', 'two'), attempts)
+        dispatcher, metrics = _dispatcher(FakeRouter('one', 'two'), client)
         failed = _run(dispatcher, build_request('GET'))
         assert isinstance(failed, AttemptFailedError)
         self.assertThat(failed.outcome, Equals(Outcome.UNKNOWN))
@@ -180,11 +180,11 @@
 
 def _dispatcher(
     router: FakeRouter,
-    attempts: FakeAttempts,
+    client: FakeTargetClient,
 ) -> tuple[Dispatcher, Metrics]:
     metrics = Metrics()
     rng = random.Random(1)
-    return Dispatcher(router, attempts, metrics, rng), metrics
+    return Dispatcher(router, client, metrics, rng), metrics
 
 
 def _run(
--- a/tests/entry/test_lifecycle.py
+++ b/tests/entry/test_lifecycle.py
@@ -6,7 +6,7 @@
 from testtools.matchers import Equals
 
 from wigeonreach.charts import load_chart
-from wigeonreach.entry._lifecycle import Lifecycle, Phase, Step
+from wigeonreach.entry._lifecycle import Lifecycle, LifecycleEvent, Phase
 from wigeonreach.entry._pace import announce_after_s
 
 
@@ -23,17 +23,17 @@
         """Readiness is withdrawn before new requests are refused."""
         lifecycle = Lifecycle()
         self.assertFalse(lifecycle.is_ready)
-        lifecycle.take(Step.LEARNED)
+        lifecycle.apply(LifecycleEvent.LEARNED)
         self.assertTrue(lifecycle.is_ready)
 
-        lifecycle.take(Step.TOLD_TO_STOP)
+        lifecycle.apply(LifecycleEvent.TOLD_TO_STOP)
         self.assertFalse(lifecycle.is_ready)
         self.assertTrue(lifecycle.takes_work)
         self.assertTrue(lifecycle.is_stopping)
-        lifecycle.take(Step.LEARNED)
+        lifecycle.apply(LifecycleEvent.LEARNED)
         self.assertFalse(lifecycle.is_ready)
 
-        lifecycle.take(Step.NOTICE_GIVEN)
+        lifecycle.apply(LifecycleEvent.NOTICE_GIVEN)
         self.assertFalse(lifecycle.takes_work)
 
 
--- a/tests/entry/test_request_reading.py
+++ b/tests/entry/test_request_reading.py
@@ -25,9 +25,9 @@
 
     def test_deadline_is_capped(self) -> None:
         """A caller may shorten the service's deadline, not lengthen it."""
-        for asked, left_s in (('500', 0.5), ('90000', 2.0)):
-            read = _read({'X-Deadline-Ms': asked})
-            self.assertThat(read.due_s - _NOW_S, Equals(left_s))
+        for requested, left_s in (('500', 0.5), ('90000', 2.0)):
+            request = _read({'X-Deadline-Ms': requested})
+            self.assertThat(request.due_s - _NOW_S, Equals(left_s))
         self.assertThat(_read({}).due_s - _NOW_S, Equals(2.0))
 
     def test_unknown_teams_share_one_class(self) -> None:
@@ -35,17 +35,17 @@
         known = _read({'X-Team': 'clinics'})
         self.assertThat((known.team, known.weight), Equals(('clinics', 3.0)))
         for name in ('invented', 'other'):
-            read = _read({'X-Team': name})
-            self.assertThat((read.team, read.weight), Equals(('', 1.0)))
+            request = _read({'X-Team': name})
+            self.assertThat((request.team, request.weight), Equals(('', 1.0)))
 
     def test_path_keeps_escapes_and_query(self) -> None:
         """The target decodes the caller's path, not the entry."""
-        read = _read({}, '/s/records/a%2Fb//c?q=%26&r')
-        self.assertThat(read.path, Equals('/a%2Fb//c?q=%26&r'))
+        request = _read({}, '/s/records/a%2Fb//c?q=%26&r')
+        self.assertThat(request.path, Equals('/a%2Fb//c?q=%26&r'))
 
     def test_bad_headers_are_refused(self) -> None:
         """Each malformed header is named in its refusal."""
-        for name, sent in (
+        for name, header in (
             ('X-Deadline-Ms', '-1'),
             ('X-Deadline-Ms', '1e3'),
             ('X-Deadline-Ms', '²'),
@@ -56,7 +56,7 @@
             refused = self.assertRaises(
                 RequestRefusedError,
                 _read,
-                {name: sent},
+                {name: header},
             )
             code = ResultCode.REQUEST_BAD_HEADER
             self.assertThat(refused.code, Equals(code))
--- a/tests/entry/test_retry.py
+++ b/tests/entry/test_retry.py
@@ -8,9 +8,9 @@
 from wigeonreach.codes import Outcome
 from wigeonreach.entry._retry import (
     FailedAttempt,
-    RetryRefusal,
     Retry,
     RetryBudget,
+    RetryRefusal,
     decide_retry,
 )
 
