--- a/tests/entry/test_pause.py
+++ b/tests/entry/test_pause.py
@@ -12,7 +12,7 @@
     """Earliest arrival time of a message that is read now."""
 
     def test_running(self) -> None:
-        """In a process without a pause, a message arrives when it is read."""
+        """Without a pause, a message that is read now arrived now."""
         watch = PauseWatch(10)
         watch.tick(10.1)
 
