--- a/src/wigeonreach/entry/_queue.py
+++ b/src/wigeonreach/entry/_queue.py
@@ -1,4 +1,4 @@
-"""Order the waiting requests of one service by team and urgency."""
+"""Weighted fair queue of the requests that wait for one service."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ticket:
-    """The place of one waiting request.
+    """Queue entry of one waiting request.
 
-    ``due_s`` is monotonic time; ``weight`` is the share of the team in the
-    operator's text.
+    ``due_s`` is the deadline in monotonic time, in seconds; ``weight`` is the
+    team's weight in the fleet configuration.
     """
 
     number: int
@@ -24,13 +24,13 @@
     due_s: float
 
 
-class _Lane:
-    """The waiting requests of one team, urgent ones apart."""
+class _TeamQueue:
+    """The waiting requests of one team; urgent ones are taken first."""
 
-    def __init__(self, team: str, weight: float, start: float) -> None:
+    def __init__(self, team: str, weight: float, virtual_start: float) -> None:
         self.team = team
         self.weight = weight
-        self.start = start
+        self.virtual_start = virtual_start
         self.urgent: collections.deque[Ticket] = collections.deque()
         self.ordinary: collections.deque[Ticket] = collections.deque()
 
@@ -42,7 +42,7 @@
         yield from self.ordinary
 
     @property
-    def excess(self) -> float:
+    def weighted_length(self) -> float:
         return len(self) / self.weight
 
     def append(self, ticket: Ticket) -> None:
@@ -55,41 +55,43 @@
     def drop_last(self) -> Ticket:
         return (self.ordinary or self.urgent).pop()
 
-    def keep(self, kept: frozenset[int]) -> None:
+    def retain(self, kept_numbers: frozenset[int]) -> None:
         for waiting in (self.urgent, self.ordinary):
-            still = [ticket for ticket in waiting if ticket.number in kept]
+            remaining = [
+                ticket for ticket in waiting if ticket.number in kept_numbers
+            ]
             waiting.clear()
-            waiting.extend(still)
+            waiting.extend(remaining)
 
 
-def _order(lane: _Lane) -> tuple[float, str]:
-    return lane.start, lane.team
+def _scheduling_key(team_queue: _TeamQueue) -> tuple[float, str]:
+    return team_queue.virtual_start, team_queue.team
 
 
 class FairQueue:
-    """A bounded queue that teams share by weight.
+    """A bounded queue that is shared between teams by weight.
 
-    Start-time fair queueing: each team has a virtual start time that grows
-    by ``1 / weight`` with each request taken, and the team with the lowest
-    one is next.  A team that was idle starts at the present virtual time, so
-    that it can't save up a claim.
+    Implements start-time fair queueing: each team has a virtual start time
+    that grows by ``1 / weight`` with each request taken, and the team with the
+    lowest one is next.  A team that was idle starts at the current virtual
+    time, so that it can't accumulate credit.
 
     Parameters
     ----------
     max_length
-        How many requests may wait.
+        Maximum number of waiting requests.
     """
 
     def __init__(self, max_length: int) -> None:
         """Start empty."""
         self._max_length = max_length
-        self._lanes: dict[str, _Lane] = {}
-        self._order = SortedList(key=_order)
-        self._virtual = 0.0
+        self._teams: dict[str, _TeamQueue] = {}
+        self._order = SortedList(key=_scheduling_key)
+        self._virtual_time = 0.0
         self._length = 0
 
     def __len__(self) -> int:
-        """Return how many requests wait."""
+        """Return the number of waiting requests."""
         return self._length
 
     def push(self, ticket: Ticket) -> Ticket | None:
@@ -98,45 +100,45 @@
         Parameters
         ----------
         ticket
-            The request's place.
+            The request to add.
 
         Returns
         -------
         Ticket or None
-            The request that has to go because the queue is full: the last
-            ordinary one of the team furthest over its share, which can be
-            the one that was just added.
+            The request that was dropped because the queue is full: the last
+            ordinary one of the team with the most requests per weight, which
+            can be the one that was just added.
         """
-        lane = self._lanes.get(ticket.team) or self._open_lane(ticket)
-        lane.append(ticket)
+        team_queue = self._teams.get(ticket.team) or self._add_team(ticket)
+        team_queue.append(ticket)
         self._length += 1
         if self._length <= self._max_length:
             return None
-        return self._drop_from(max(self._lanes.values(), key=_excess))
+        return self._drop_from(max(self._teams.values(), key=_weighted_length))
 
     def pop(self) -> Ticket | None:
-        """Return the request whose turn it is, or None if none waits."""
+        """Remove and return the next request, or None if the queue is empty."""
         if not self._order:
             return None
-        lane = self._order.pop(0)
-        ticket: Ticket = lane.popleft()
+        team_queue = self._order.pop(0)
+        ticket: Ticket = team_queue.popleft()
         self._length -= 1
-        self._virtual = lane.start
-        lane.start += 1 / lane.weight
-        if lane:
-            self._order.add(lane)
+        self._virtual_time = team_queue.virtual_start
+        team_queue.virtual_start += 1 / team_queue.weight
+        if team_queue:
+            self._order.add(team_queue)
         else:
-            self._lanes.pop(lane.team)
+            self._teams.pop(team_queue.team)
         return ticket
 
     def remove(self, ticket: Ticket) -> None:
-        """Remove one request; nothing changes if it does not wait."""
-        lane = self._lanes.get(ticket.team)
-        if lane is not None and ticket in tuple(lane):
-            self._remove_from(lane, [ticket])
+        """Remove one request; does nothing if it is not queued."""
+        team_queue = self._teams.get(ticket.team)
+        if team_queue is not None and ticket in tuple(team_queue):
+            self._remove_from(team_queue, [ticket])
 
-    def remove_due(self, before_s: float) -> list[Ticket]:
-        """Remove every request that is due before a moment.
+    def remove_expired(self, before_s: float) -> list[Ticket]:
+        """Remove every request whose deadline is before a given time.
 
         Parameters
         ----------
@@ -149,63 +151,71 @@
             The removed requests.
         """
         removed: list[Ticket] = []
-        for lane in tuple(self._lanes.values()):
-            late = [ticket for ticket in lane if ticket.due_s < before_s]
-            if late:
-                removed.extend(late)
-                self._remove_from(lane, late)
+        for team_queue in tuple(self._teams.values()):
+            expired = [
+                ticket for ticket in team_queue if ticket.due_s < before_s
+            ]
+            if expired:
+                removed.extend(expired)
+                self._remove_from(team_queue, expired)
         return removed
 
-    def ahead_of(self, team: str, weight: float, *, is_urgent: bool) -> float:
+    def estimate_ahead(
+        self, team: str, weight: float, *, is_urgent: bool
+    ) -> float:
         """Estimate how many requests would be taken before a new one.
 
         Parameters
         ----------
         team, weight, is_urgent
-            Of the new request.
+            Properties of the new request.
 
         Returns
         -------
         float
-            Those of its own team before it, and of each other team what its
-            share takes in the meantime.
+            The requests of its own team before it, plus those that each other
+            team's share allows in the meantime.
         """
-        own = self._lanes.get(team)
-        before = 0
+        own = self._teams.get(team)
+        own_ahead = 0
         if own is not None:
-            before = len(own.urgent) if is_urgent else len(own)
-        turns = (before + 1) / weight
-        others = sum(
-            min(len(lane), turns * lane.weight)
-            for lane in self._lanes.values()
-            if lane is not own
+            own_ahead = len(own.urgent) if is_urgent else len(own)
+        virtual_span = (own_ahead + 1) / weight
+        from_others = sum(
+            min(len(team_queue), virtual_span * team_queue.weight)
+            for team_queue in self._teams.values()
+            if team_queue is not own
         )
-        return before + others
+        return own_ahead + from_others
 
-    def _open_lane(self, ticket: Ticket) -> _Lane:
-        lane = _Lane(ticket.team, ticket.weight, self._virtual)
-        lane.start += 1 / ticket.weight
-        self._lanes[ticket.team] = lane
-        self._order.add(lane)
-        return lane
+    def _add_team(self, ticket: Ticket) -> _TeamQueue:
+        team_queue = _TeamQueue(ticket.team, ticket.weight, self._virtual_time)
+        team_queue.virtual_start += 1 / ticket.weight
+        self._teams[ticket.team] = team_queue
+        self._order.add(team_queue)
+        return team_queue
 
-    def _drop_from(self, lane: _Lane) -> Ticket:
-        dropped = lane.drop_last()
+    def _drop_from(self, team_queue: _TeamQueue) -> Ticket:
+        dropped = team_queue.drop_last()
         self._length -= 1
-        self._close_if_empty(lane)
+        self._remove_team_if_empty(team_queue)
         return dropped
 
-    def _remove_from(self, lane: _Lane, late: list[Ticket]) -> None:
-        gone = {ticket.number for ticket in late}
-        lane.keep(frozenset(one.number for one in lane) - gone)
-        self._length -= len(late)
-        self._close_if_empty(lane)
+    def _remove_from(
+        self, team_queue: _TeamQueue, expired: list[Ticket]
+    ) -> None:
+        removed = {ticket.number for ticket in expired}
+        team_queue.retain(
+            frozenset(ticket.number for ticket in team_queue) - removed
+        )
+        self._length -= len(expired)
+        self._remove_team_if_empty(team_queue)
 
-    def _close_if_empty(self, lane: _Lane) -> None:
-        if not lane:
-            self._order.remove(lane)
-            self._lanes.pop(lane.team)
+    def _remove_team_if_empty(self, team_queue: _TeamQueue) -> None:
+        if not team_queue:
+            self._order.remove(team_queue)
+            self._teams.pop(team_queue.team)
 
 
-def _excess(lane: _Lane) -> float:
-    return lane.excess
+def _weighted_length(team_queue: _TeamQueue) -> float:
+    return team_queue.weighted_length
