--- a/src/wigeonreach/lab/__main__.py
+++ b/src/wigeonreach/lab/__main__.py
@@ -9,7 +9,7 @@
 
 from wigeonreach.lab._day import DayPlan
 from wigeonreach.lab._demand import DemandPlan, KindShares
-from wigeonreach.lab._table import play, table
+from wigeonreach.lab._table import format_table, simulate_variants
 from wigeonreach.lab._variants import VARIANTS, Variant, parse_overrides
 
 _BASE = 'as it is'
@@ -45,9 +45,9 @@
     shares = KindShares(kinds, kinds, kinds, kinds, kinds / 4)
     usual = DemandPlan(kinds=shares)
     demand = dataclasses.replace(usual, jobs_per_s=usual.jobs_per_s * load)
-    plan = DayPlan(demand, faults_per_s=faults, terms=terms)
+    plan = DayPlan(demand, faults_per_s=faults, leader_changes=terms)
     seeds = range(first_seed, first_seed + days)
-    typer.echo(table(play(chosen, plan, seeds)))
+    typer.echo(format_table(simulate_variants(chosen, plan, seeds)))
 
 
 if __name__ == '__main__':
--- a/src/wigeonreach/lab/_checks.py
+++ b/src/wigeonreach/lab/_checks.py
@@ -24,12 +24,12 @@
     BrokenRuleError
         If its job has ended, its turn has not come or it failed too often.
     """
-    wrong = _wrong_with(order, store)
+    wrong = _start_violation(order, store)
     if wrong:
         raise BrokenRuleError(f'{order.task}: {wrong}')
 
 
-def _wrong_with(order: StartOrder, store: JobStore) -> str:
+def _start_violation(order: StartOrder, store: JobStore) -> str:
     """Return what is wrong with an order, or nothing."""
     key = order.task
     job = store.job_of(key)
@@ -57,13 +57,13 @@
     runs: collections.Counter[TaskKey] = collections.Counter()
     for worker in workers:
         runs.update(key for key, _ in worker.running)
-        _check_room(worker, store)
+        _check_capacity(worker, store)
     for key, count in runs.items():
         if count > 1 and not store.may_run_twice(key):
             raise BrokenRuleError(f'{key}: {count} runs at once')
 
 
-def _check_room(worker: StandInWorker, store: JobStore) -> None:
+def _check_capacity(worker: StandInWorker, store: JobStore) -> None:
     specs = [store.spec_of(key) for key, _ in worker.running]
     needs = [spec.room for spec in specs if spec is not None]
     if not room_of(worker.last_report).holds(sum(needs, start=NO_ROOM)):
--- a/src/wigeonreach/lab/_day.py
+++ b/src/wigeonreach/lab/_day.py
@@ -25,7 +25,7 @@
     services,
 )
 from wigeonreach.lab._fleet import Fleet, FleetPlan, Vm
-from wigeonreach.lab._lead import VirtualLead, commit
+from wigeonreach.lab._virtual_leader import VirtualLead, commit
 from wigeonreach.lab._outcome import Outcome
 from wigeonreach.scheduling import SchedulingSettings
 from wigeonreach.scheduling._objectives import objective_of
@@ -34,14 +34,14 @@
 
 _STEP_S = 0.05
 # As the core process does.
-_MOVES_S = 0.1
-_LIST_S = 4.0
-_CHECK_S = 0.25
+_MOVE_INTERVAL_S = 0.1
+_LIST_INTERVAL_S = 4.0
+_CHECK_INTERVAL_S = 0.25
 # Until a leader knows its fleet, and after the last job came.
-_LEAD_IN_S = 9.0
-_FINISH_S = 14.0
+_WARM_UP_S = 9.0
+_COOL_DOWN_S = 14.0
 # Each task takes so much more or less than the others of its step.
-_UNEVEN = 0.3
+_DURATION_SPREAD = 0.3
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -59,7 +59,7 @@
     demand: DemandPlan = DemandPlan()
     fleet: FleetPlan = FleetPlan()
     faults_per_s: float = 0.0
-    terms: int = 0
+    leader_changes: int = 0
 
 
 class Day:
@@ -79,27 +79,29 @@
         self.store = JobStore()
         self._plan = plan
         self._seed = seed
-        self._faults = random.Random(seed + 1)
+        self._fault_rng = random.Random(seed + 1)
         self._now_s = 0.0
         manifest = Manifest(1, queues(plan.demand), services(plan.demand))
         commit(self.store, SetManifest(manifest))
         names = tuple(map(service_name, range(plan.demand.services)))
-        self.fleet = Fleet(plan.fleet, names, self.store, self._lasts_s, seed)
+        self.fleet = Fleet(
+            plan.fleet, names, self.store, self._task_duration_s, seed
+        )
         drawn = Demand(
             plan.demand, self.fleet.racks, plan.fleet.labels, seed
         ).arrivals()
-        self._arrivals = {
+        self._not_completed = {
             arrival.spec.job_id: dataclasses.replace(
-                arrival, at_s=arrival.at_s + _LEAD_IN_S
+                arrival, at_s=arrival.at_s + _WARM_UP_S
             )
             for arrival in drawn
         }
-        self._coming = list(reversed(self._arrivals.values()))
-        self._declared = dict(self._arrivals)
-        self._drawn_s: dict[TaskKey, float] = {}
-        self._lead = self._next_lead()
+        self._not_submitted = list(reversed(self._not_completed.values()))
+        self._all_arrivals = dict(self._not_completed)
+        self._durations_s: dict[TaskKey, float] = {}
+        self._leader = self._new_leader()
 
-    def play(self) -> Outcome:
+    def simulate(self) -> Outcome:
         """Play the whole day.
 
         Raises
@@ -107,93 +109,100 @@
         BrokenRuleError
             If something happens that must never happen.
         """
-        length_s = _LEAD_IN_S + self._plan.demand.length_s + _FINISH_S
+        length_s = _WARM_UP_S + self._plan.demand.length_s + _COOL_DOWN_S
         for number in range(round(length_s / _STEP_S)):
             self._now_s = number * _STEP_S
             self._step(number)
-        self._sum_up()
+        self._record_unfinished()
         return self.outcome
 
     def _step(self, number: int) -> None:
-        self._lead.now_s = self._now_s
+        self._leader.now_s = self._now_s
         self._submit()
-        self._disturb()
-        self.fleet.live(self._now_s, _STEP_S)
-        self._hear()
-        self._lead.plan()
-        self._answer()
-        if not number % round(_MOVES_S / _STEP_S):
-            self._move()
-        if not number % round(_LIST_S / _STEP_S):
-            self._list()
-        if not number % round(_CHECK_S / _STEP_S):
-            workers = (worker for _, worker in self.fleet.up())
+        self._inject_faults()
+        self.fleet.advance(self._now_s, _STEP_S)
+        self._send_heartbeats()
+        self._leader.plan()
+        self._answer_heartbeats()
+        if not number % round(_MOVE_INTERVAL_S / _STEP_S):
+            self._move_vms()
+        if not number % round(_LIST_INTERVAL_S / _STEP_S):
+            self._list_vms()
+        if not number % round(_CHECK_INTERVAL_S / _STEP_S):
+            workers = (worker for _, worker in self.fleet.running_workers())
             check_workers(workers, self.store)
-        self._count()
+        self._measure()
 
     def _submit(self) -> None:
-        while self._coming and self._coming[-1].at_s <= self._now_s:
-            arrival = self._coming.pop()
+        while (
+            self._not_submitted and self._not_submitted[-1].at_s <= self._now_s
+        ):
+            arrival = self._not_submitted.pop()
             command = AddJob(arrival.spec, arrival.queue, self._now_s * 1000)
             commit(self.store, command)
 
-    def _disturb(self) -> None:
-        if self._faults.random() < self._plan.faults_per_s * _STEP_S:
-            self._strike(self._faults.choice(list(self.fleet.vms.values())))
-        terms = self._plan.terms
-        if terms and self._lead.term <= terms:
+    def _inject_faults(self) -> None:
+        if self._fault_rng.random() < self._plan.faults_per_s * _STEP_S:
+            self._inject_fault(
+                self._fault_rng.choice(list(self.fleet.vms.values()))
+            )
+        terms = self._plan.leader_changes
+        if terms and self._leader.term <= terms:
             length_s = self._plan.demand.length_s
-            due_s = _LEAD_IN_S + length_s / (terms + 1) * self._lead.term
+            due_s = _WARM_UP_S + length_s / (terms + 1) * self._leader.term
             if self._now_s >= due_s:
-                self._lead = self._next_lead(self._lead.term + 1)
+                self._leader = self._new_leader(self._leader.term + 1)
 
-    def _strike(self, vm: Vm) -> None:
-        kind = self._faults.randrange(3)
-        lasts_s = self._faults.uniform(2, 7)
+    def _inject_fault(self, vm: Vm) -> None:
+        kind = self._fault_rng.randrange(3)
+        lasts_s = self._fault_rng.uniform(2, 7)
         if kind == 0:
             self.fleet.crash(vm, self._now_s, lasts_s)
         elif kind == 1:
-            vm.cut_until_s = self._now_s + lasts_s
+            vm.partitioned_until_s = self._now_s + lasts_s
         else:
             vm.slow_until_s = self._now_s + lasts_s
 
-    def _next_lead(self, term: int = 1) -> VirtualLead:
+    def _new_leader(self, term: int = 1) -> VirtualLead:
         fleet = self._plan.fleet
         settings = SchedulingSettings(fleet.move_s, fleet.far_factor)
         return VirtualLead(self.store, term, self._now_s, settings)
 
-    def _hear(self) -> None:
-        for vm, worker in self.fleet.up():
-            is_due = vm.asked_s is None and self._now_s >= vm.next_s
-            if is_due and not vm.is_cut(self._now_s):
-                vm.asked_s = self._now_s
-                self._lead.take(worker.report())
+    def _send_heartbeats(self) -> None:
+        for vm, worker in self.fleet.running_workers():
+            is_due = (
+                vm.heartbeat_sent_s is None
+                and self._now_s >= vm.next_heartbeat_s
+            )
+            if is_due and not vm.is_partitioned(self._now_s):
+                vm.heartbeat_sent_s = self._now_s
+                self._leader.take(worker.report())
 
-    def _answer(self) -> None:
-        known = self._lead.scheduler.workers.incarnations
-        for vm, worker in self.fleet.up():
+    def _answer_heartbeats(self) -> None:
+        known = self._leader.scheduler.workers.incarnations
+        for vm, worker in self.fleet.running_workers():
             incarnation = known.get(worker.incarnation)
-            if vm.asked_s is None or incarnation is None:
-                vm.asked_s = None
+            if vm.heartbeat_sent_s is None or incarnation is None:
+                vm.heartbeat_sent_s = None
                 continue
-            orders = self._lead.scheduler.answers.due(
+            orders = self._leader.scheduler.answers.due(
                 incarnation,
-                vm.asked_s,
+                vm.heartbeat_sent_s,
                 self._now_s,
             )
-            if orders is not None and not vm.is_cut(self._now_s):
+            if orders is not None and not vm.is_partitioned(self._now_s):
                 self._check_orders(vm, orders)
-                self.fleet.obey(vm, orders, self._now_s)
+                self.fleet.deliver_orders(vm, orders, self._now_s)
 
     def _check_orders(self, vm: Vm, orders: WorkerOrders) -> None:
         for start in orders.starts:
             check_start(start, self.store)
             self.outcome.starts += 1
             self.outcome.far_starts += self.fleet.is_far(start, vm)
-            self.outcome.wasted_starts += start.run > 1
+            self.outcome.restarts += start.run > 1
 
-    def _move(self) -> None:
-        scheduler = self._lead.scheduler
+    def _move_vms(self) -> None:
+        scheduler = self._leader.scheduler
         for move in scheduler.moves(self._now_s):
             left = self.fleet.vms[move.vm].worker
             if left is not None:
@@ -202,65 +211,69 @@
             scheduler.pools.note_moved(move, self._now_s)
             self.outcome.moves += 1
 
-    def _list(self) -> None:
-        records = (self._record(vm) for vm in self.fleet.vms.values())
-        self._lead.scheduler.pools.note_vms(records)
+    def _list_vms(self) -> None:
+        records = (self._vm_record(vm) for vm in self.fleet.vms.values())
+        self._leader.scheduler.pools.note_vms(records)
 
-    def _record(self, vm: Vm) -> VmRecord:
+    def _vm_record(self, vm: Vm) -> VmRecord:
         is_up = vm.worker is not None or (
-            vm.pool == STANDBY and self._now_s >= vm.up_s
+            vm.pool == STANDBY and self._now_s >= vm.available_from_s
         )
         phase = VmPhase.UP if is_up else VmPhase.MOVING
         worker = vm.worker.name if vm.worker else ''
         labels = (vm.label, vm.rack)
         return VmRecord(vm.name, vm.pool, phase, 'a', vm.rack, worker, labels)
 
-    def _count(self) -> None:
-        if self._now_s < _LEAD_IN_S:
+    def _measure(self) -> None:
+        if self._now_s < _WARM_UP_S:
             return
-        self.outcome.vm_s += self.fleet.paid() * _STEP_S
+        self.outcome.vm_s += self.fleet.vms_in_use() * _STEP_S
         demand = self._plan.demand
-        self.outcome.owed_s += demand.serving * demand.services * _STEP_S
+        self.outcome.required_s += (
+            demand.serving_tasks * demand.services * _STEP_S
+        )
         serving = sum(
             self.store.is_serving(key)
-            for _, worker in self.fleet.up()
+            for _, worker in self.fleet.running_workers()
             for key, _ in worker.running
         )
         self.outcome.served_s += serving * _STEP_S
-        for arrival in self._ended_now():
+        for arrival in self._pop_completed():
             objective_s = objective_of(self.store.jobs[arrival.spec.job_id])
             took_s = self._now_s - arrival.at_s
             ratios = self.outcome.ratios[arrival.kind]
             ratios.append(took_s / objective_s)
 
-    def _ended_now(self) -> Iterator[Arrival]:
+    def _pop_completed(self) -> Iterator[Arrival]:
         """Yield the jobs that were completed since the last look."""
-        for job_id, arrival in list(self._arrivals.items()):
+        for job_id, arrival in list(self._not_completed.items()):
             job = self.store.jobs.get(job_id)
             if job is not None and job.phase is JobPhase.COMPLETED:
-                self._arrivals.pop(job_id)
-                self._note_needs(arrival)
+                self._not_completed.pop(job_id)
+                self._add_needed_time(arrival)
                 yield arrival
 
-    def _note_needs(self, arrival: Arrival) -> None:
+    def _add_needed_time(self, arrival: Arrival) -> None:
         millicores = self._plan.fleet.millicores
         for step, lasts_s in zip(
-            arrival.spec.steps, arrival.lasts_s, strict=True
+            arrival.spec.steps, arrival.durations_s, strict=True
         ):
             part = step.cpu_millicores / millicores
             self.outcome.needed_vm_s += part * step.count * lasts_s
 
-    def _sum_up(self) -> None:
-        for arrival in self._arrivals.values():
+    def _record_unfinished(self) -> None:
+        for arrival in self._not_completed.values():
             if arrival.kind != 'serving':
                 self.outcome.ratios[arrival.kind].append(float('inf'))
 
-    def _lasts_s(self, key: TaskKey) -> float:
+    def _task_duration_s(self, key: TaskKey) -> float:
         """Return how long a task takes, the same in each of its runs."""
-        lasts_s = self._drawn_s.get(key)
+        lasts_s = self._durations_s.get(key)
         if lasts_s is None:
             drawn = random.Random(f'{self._seed}{key}')
-            uneven = drawn.uniform(1 - _UNEVEN, 1 + _UNEVEN)
-            lasts_s = self._declared[key.job_id].lasts_s[key.step] * uneven
-            self._drawn_s[key] = lasts_s
+            uneven = drawn.uniform(1 - _DURATION_SPREAD, 1 + _DURATION_SPREAD)
+            lasts_s = (
+                self._all_arrivals[key.job_id].durations_s[key.step] * uneven
+            )
+            self._durations_s[key] = lasts_s
         return lasts_s
--- a/src/wigeonreach/lab/_demand.py
+++ b/src/wigeonreach/lab/_demand.py
@@ -11,7 +11,7 @@
 
 STANDBY = 'standby'
 # Of the usual rate, between the turns of a queue.
-_BETWEEN_TURNS = 0.05
+_OFF_PEAK_RATIO = 0.05
 _MS = 1000
 
 
@@ -62,13 +62,13 @@
 
     services: int = 4
     jobs_per_s: float = 18.0
-    turn_s: float = 4.0
+    peak_s: float = 4.0
     length_s: float = 32.0
-    width: float = 6.0
-    lasts_s: float = 0.8
+    tasks_per_step: float = 6.0
+    duration_s: float = 0.8
     millicores: int = 3500
     estimate_error: float = 0.5
-    serving: int = 5
+    serving_tasks: int = 5
     kinds: KindShares = KindShares()
 
 
@@ -88,7 +88,7 @@
     queue: str
     spec: JobSpec
     kind: str
-    lasts_s: tuple[float, ...]
+    durations_s: tuple[float, ...]
 
 
 def service_name(number: int) -> str:
@@ -160,9 +160,9 @@
         return sorted(found, key=lambda arrival: arrival.at_s)
 
     def _serving(self, service: int) -> Iterator[Arrival]:
-        if self._plan.serving:
+        if self._plan.serving_tasks:
             step = StepSpec(
-                count=self._plan.serving,
+                count=self._plan.serving_tasks,
                 cpu_millicores=6000,
                 memory_mb=17_000,
                 estimate_ms=900,
@@ -178,9 +178,9 @@
             at_s += self._rng.expovariate(self._plan.jobs_per_s)
             if at_s > self._plan.length_s:
                 return
-            turn = int(at_s / self._plan.turn_s) % self._plan.services
+            turn = int(at_s / self._plan.peak_s) % self._plan.services
             is_turn = turn == service
-            if is_turn or self._rng.random() < _BETWEEN_TURNS:
+            if is_turn or self._rng.random() < _OFF_PEAK_RATIO:
                 yield self._job(at_s, service)
 
     def _job(self, at_s: float, service: int) -> Arrival:
@@ -190,7 +190,7 @@
             for number in range(self._rng.choice((1, 1, 1, 2, 2, 3)))
         ]
         lasts_s = tuple(
-            step.estimate_ms / _MS * self._error() for step in steps
+            step.estimate_ms / _MS * self._duration_factor() for step in steps
         )
         name = '+'.join(sorted(kinds)) or 'plain'
         return self._arrival(at_s, service, tuple(steps), name, lasts_s)
@@ -205,10 +205,12 @@
         plan = self._plan
         rng = self._rng
         return StepSpec(
-            count=max(1, round(rng.lognormvariate(0, 0.6) * plan.width)),
+            count=max(
+                1, round(rng.lognormvariate(0, 0.6) * plan.tasks_per_step)
+            ),
             cpu_millicores=round(plan.millicores * rng.uniform(0.5, 1.5)),
             memory_mb=round(3600 * rng.uniform(0.5, 1.5)),
-            estimate_ms=round(plan.lasts_s * _MS * rng.uniform(0.5, 1.5)),
+            estimate_ms=round(plan.duration_s * _MS * rng.uniform(0.5, 1.5)),
             after=(number - 1,) if number else (),
             is_gang='gang' in kinds,
             label=rng.choice(self._labels) if 'label' in kinds else '',
@@ -216,7 +218,7 @@
             has_copies='copies' in kinds,
         )
 
-    def _error(self) -> float:
+    def _duration_factor(self) -> float:
         error = self._plan.estimate_error
         return self._rng.uniform(1 - error, 1 + error)
 
--- a/src/wigeonreach/lab/_fleet.py
+++ b/src/wigeonreach/lab/_fleet.py
@@ -17,11 +17,11 @@
     WorkerOrders,
 )
 
-_WHOLE_PERCENT = 100
+_DONE_PERCENT = 100
 # A worker's clock may be slow by this, which makes its lease longer.
-_SLOW_CLOCK = 1.02
+_CLOCK_DRIFT = 1.02
 # After this an answer is given up, and the heartbeat is sent again.
-_GIVE_UP_S = 1.0
+_HEARTBEAT_TIMEOUT_S = 1.0
 # Of a slow worker: everything takes so many times as long.
 _SLOW_FACTOR = 5.0
 
@@ -77,20 +77,20 @@
     label: str
     pool: str
     worker: StandInWorker | None = None
-    up_s: float = 0.0
-    cut_until_s: float = 0.0
+    available_from_s: float = 0.0
+    partitioned_until_s: float = 0.0
     slow_until_s: float = 0.0
-    asked_s: float | None = None
-    next_s: float = 0.0
+    heartbeat_sent_s: float | None = None
+    next_heartbeat_s: float = 0.0
     worked_s: dict[Run, float] = dataclasses.field(default_factory=dict)
 
-    def is_cut(self, now_s: float) -> bool:
+    def is_partitioned(self, now_s: float) -> bool:
         """Whether nothing reaches it."""
-        return now_s < self.cut_until_s
+        return now_s < self.partitioned_until_s
 
 
 # The true time of a task on a sound worker near its data, in seconds.
-Lasting = Callable[[TaskKey], float]
+TaskDuration = Callable[[TaskKey], float]
 
 
 class Fleet:
@@ -115,15 +115,15 @@
         plan: FleetPlan,
         services: tuple[str, ...],
         store: JobStore,
-        lasting: Lasting,
+        task_duration: TaskDuration,
         seed: int,
     ) -> None:
         """Start a worker on each VM that does not stand by."""
         self.plan = plan
         self._store = store
-        self._lasting = lasting
+        self._task_duration = task_duration
         self._rng = random.Random(seed)
-        self._starts = itertools.count(1)
+        self._incarnation_numbers = itertools.count(1)
         pools = itertools.chain(
             *itertools.repeat(services, plan.pool_vms),
             itertools.repeat(STANDBY, plan.standby_vms),
@@ -138,11 +138,11 @@
         """All racks."""
         return tuple(sorted({vm.rack for vm in self.vms.values()}))
 
-    def paid(self) -> int:
+    def vms_in_use(self) -> int:
         """Return how many VMs cost something now."""
         return sum(vm.worker is not None for vm in self.vms.values())
 
-    def up(self) -> Iterator[tuple[Vm, StandInWorker]]:
+    def running_workers(self) -> Iterator[tuple[Vm, StandInWorker]]:
         """Yield the VMs whose worker runs."""
         for vm in self.vms.values():
             if vm.worker is not None:
@@ -153,36 +153,42 @@
         vm = self.vms[name]
         vm.worker = None
         vm.pool = pool
-        vm.up_s = now_s + self.plan.move_s
+        vm.available_from_s = now_s + self.plan.move_s
         vm.worked_s.clear()
 
-    def crash(self, vm: Vm, now_s: float, for_s: float) -> None:
+    def crash(self, vm: Vm, now_s: float, downtime_s: float) -> None:
         """End a worker without a word; another begins there later."""
         vm.worker = None
-        vm.up_s = now_s + for_s
+        vm.available_from_s = now_s + downtime_s
         vm.worked_s.clear()
 
-    def live(self, now_s: float, step_s: float) -> None:
+    def advance(self, now_s: float, step_s: float) -> None:
         """Let workers begin, work and lapse for a short time."""
         for vm in self.vms.values():
-            if vm.worker is None and vm.pool != STANDBY and now_s >= vm.up_s:
-                self._begin(vm, now_s)
-        for up, worker in self.up():
-            self._work(up, worker, now_s, step_s)
-
-    def obey(self, vm: Vm, orders: WorkerOrders, now_s: float) -> None:
+            if (
+                vm.worker is None
+                and vm.pool != STANDBY
+                and now_s >= vm.available_from_s
+            ):
+                self._start_worker(vm, now_s)
+        for up, worker in self.running_workers():
+            self._advance_worker(up, worker, now_s, step_s)
+
+    def deliver_orders(
+        self, vm: Vm, orders: WorkerOrders, now_s: float
+    ) -> None:
         """Let a worker take the answer to its heartbeat."""
         worker = vm.worker
-        if worker is None or vm.asked_s is None:
+        if worker is None or vm.heartbeat_sent_s is None:
             return
-        sent_s = vm.asked_s
-        vm.asked_s = None
-        vm.next_s = now_s + orders.next_after_ms / 1000
-        if now_s - sent_s > _GIVE_UP_S:
+        sent_s = vm.heartbeat_sent_s
+        vm.heartbeat_sent_s = None
+        vm.next_heartbeat_s = now_s + orders.next_after_ms / 1000
+        if now_s - sent_s > _HEARTBEAT_TIMEOUT_S:
             return
         worker.obey(orders, percent=0, sent_s=sent_s)
         worker.lease_until_s = max(
-            worker.lease_until_s, sent_s + orders.lease_ms / 1000 * _SLOW_CLOCK
+            worker.lease_until_s, sent_s + orders.lease_ms / 1000 * _CLOCK_DRIFT
         )
 
     def is_far(self, order: StartOrder, vm: Vm) -> bool:
@@ -199,25 +205,25 @@
             pool=pool,
         )
         if pool != STANDBY:
-            self._begin(vm, 0)
+            self._start_worker(vm, 0)
         return vm
 
-    def _begin(self, vm: Vm, now_s: float) -> None:
+    def _start_worker(self, vm: Vm, now_s: float) -> None:
         # A worker keeps its id, and is another incarnation at each start.
         vm.worker = StandInWorker(
             f'worker-of-{vm.name}',
             vm.name,
-            born_ms=next(self._starts),
+            born_ms=next(self._incarnation_numbers),
             service=vm.pool,
             cpu_millicores=self.plan.millicores,
             memory_mb=self.plan.memory_mb,
             rack=vm.rack,
             kind=vm.label,
         )
-        vm.asked_s = None
-        vm.next_s = now_s + self._rng.uniform(0, 0.2)
+        vm.heartbeat_sent_s = None
+        vm.next_heartbeat_s = now_s + self._rng.uniform(0, 0.2)
 
-    def _work(
+    def _advance_worker(
         self,
         vm: Vm,
         worker: StandInWorker,
@@ -229,34 +235,34 @@
         is_slow = now_s < vm.slow_until_s
         worked_s = step_s / _SLOW_FACTOR if is_slow else step_s
         for run in list(worker.running):
-            if self._is_whole(run):
-                self._advance(vm, worker, run, worked_s)
+            if self._is_gang_complete(run):
+                self._advance_run(vm, worker, run, worked_s)
         vm.worked_s = {
             run: worked_s
             for run, worked_s in vm.worked_s.items()
             if run in worker.running
         }
         if len(worker.ended) > ended:
-            vm.next_s = min(vm.next_s, now_s + step_s)
+            vm.next_heartbeat_s = min(vm.next_heartbeat_s, now_s + step_s)
 
-    def _is_whole(self, run: Run) -> bool:
+    def _is_gang_complete(self, run: Run) -> bool:
         """Whether a run may work: alone, or with all of its gang."""
         spec = self._store.spec_of(run[0])
         if spec is None or not spec.is_gang:
             return True
-        return len(list(self._members(run))) == spec.count
+        return len(list(self._gang_members(run))) == spec.count
 
-    def _members(self, run: Run) -> Iterator[tuple[StandInWorker, Run]]:
+    def _gang_members(self, run: Run) -> Iterator[tuple[StandInWorker, Run]]:
         """Yield the members of a run's gang that are there."""
         key, number = run
         step = (key.job_id, key.occurrence, key.step, number)
-        for _, worker in self.up():
+        for _, worker in self.running_workers():
             for other, attempt in worker.running:
                 name = (other.job_id, other.occurrence, other.step, attempt)
                 if name == step:
                     yield worker, (other, attempt)
 
-    def _advance(
+    def _advance_run(
         self,
         vm: Vm,
         worker: StandInWorker,
@@ -266,28 +272,28 @@
         spec = self._store.spec_of(run[0])
         if spec is None:
             return
-        lasts_s = self._lasting(run[0])
+        lasts_s = self._task_duration(run[0])
         if spec.data_rack and spec.data_rack != vm.rack:
             lasts_s *= self.plan.far_factor
         vm.worked_s[run] = vm.worked_s.get(run, 0) + step_s
         if math.isinf(lasts_s):
-            percent = _WHOLE_PERCENT
+            percent = _DONE_PERCENT
         else:
             done = vm.worked_s[run] / lasts_s
-            percent = min(int(done * _WHOLE_PERCENT), _WHOLE_PERCENT)
+            percent = min(int(done * _DONE_PERCENT), _DONE_PERCENT)
         worker.running[run] = RunningTask(*run, '', percent)
-        if percent >= _WHOLE_PERCENT and not spec.is_service:
-            self._end(worker, run)
+        if percent >= _DONE_PERCENT and not spec.is_service:
+            self._end_run(worker, run)
 
-    def _end(self, worker: StandInWorker, run: Run) -> None:
+    def _end_run(self, worker: StandInWorker, run: Run) -> None:
         """End a run well, or its whole gang once the slowest is done."""
         spec = self._store.spec_of(run[0])
         if spec is None or not spec.is_gang:
             worker.end(run, RunEnd.DONE)
             return
-        members = list(self._members(run))
+        members = list(self._gang_members(run))
         if all(
-            member.running[other].percent >= _WHOLE_PERCENT
+            member.running[other].percent >= _DONE_PERCENT
             for member, other in members
         ):
             for member, other in members:
--- a/src/wigeonreach/lab/_outcome.py
+++ b/src/wigeonreach/lab/_outcome.py
@@ -9,7 +9,7 @@
 # A job that ends within this many times its objective is late, not useless.
 _LATE_RATIO = 3.0
 # What a late job is still worth.
-_LATE_WORTH = 0.07
+_LATE_JOB_WORTH = 0.07
 
 
 @dataclasses.dataclass(slots=True)
@@ -36,9 +36,9 @@
     moves: int = 0
     starts: int = 0
     far_starts: int = 0
-    wasted_starts: int = 0
+    restarts: int = 0
     served_s: float = 0.0
-    owed_s: float = 0.0
+    required_s: float = 0.0
 
     def worth_of(self, kind: str) -> float:
         """Return the part of their full use that jobs of a kind brought."""
@@ -61,12 +61,12 @@
         return min(common, default=1.0)
 
     @property
-    def served(self) -> float:
+    def served_ratio(self) -> float:
         """Part of the time that serving tasks were at work."""
-        return self.served_s / self.owed_s if self.owed_s else 1.0
+        return self.served_s / self.required_s if self.required_s else 1.0
 
     @property
-    def far(self) -> float:
+    def far_ratio(self) -> float:
         """Part of the starts that were away from their data."""
         return self.far_starts / max(self.starts, 1)
 
@@ -74,4 +74,4 @@
 def _worth(ratio: float) -> float:
     if ratio <= 1:
         return 1.0
-    return _LATE_WORTH if ratio <= _LATE_RATIO else 0.0
+    return _LATE_JOB_WORTH if ratio <= _LATE_RATIO else 0.0
--- a/src/wigeonreach/lab/_table.py
+++ b/src/wigeonreach/lab/_table.py
@@ -15,7 +15,7 @@
 )
 
 
-def play(
+def simulate_variants(
     variants: Iterable[Variant],
     plan: DayPlan,
     seeds: Sequence[int],
@@ -24,11 +24,13 @@
     outcomes: dict[str, list[Outcome]] = {}
     for variant in variants:
         with applied(variant):
-            outcomes[variant.name] = [Day(plan, seed).play() for seed in seeds]
+            outcomes[variant.name] = [
+                Day(plan, seed).simulate() for seed in seeds
+            ]
     return outcomes
 
 
-def table(outcomes: Mapping[str, list[Outcome]]) -> str:
+def format_table(outcomes: Mapping[str, list[Outcome]]) -> str:
     """Return one line for each variant; the first is compared with."""
     base = next(iter(outcomes.values()))
     lines = [_row(name, days, base) for name, days in outcomes.items()]
@@ -44,10 +46,10 @@
     return (
         f'{name:28}{mean(day.worth for day in days):7.3f}{spread:7.3f}'
         f'{mean(day.worst for day in days):7.3f}'
-        f'{mean(day.served for day in days):8.3f}'
+        f'{mean(day.served_ratio for day in days):8.3f}'
         f'{mean(day.vm_s for day in days):7.0f}'
         f'{mean(day.needed_vm_s for day in days):7.0f}'
         f'{mean(day.moves for day in days):7.0f}'
-        f'{mean(day.far for day in days):6.3f}'
-        f'{mean(day.wasted_starts for day in days):7.1f}'
+        f'{mean(day.far_ratio for day in days):6.3f}'
+        f'{mean(day.restarts for day in days):7.1f}'
     )
--- a/src/wigeonreach/manager/_core.py
+++ b/src/wigeonreach/manager/_core.py
@@ -26,7 +26,10 @@
     WaveStatus,
 )
 from wigeonreach.manager._body import WaveBody, decode_body, encode_body
-from wigeonreach.manager._news import of_own_accord, on_its_way
+from wigeonreach.manager._vm_events import (
+    maintenance_reports,
+    unexpected_changes,
+)
 from wigeonreach.provider import VmPhase, VmView
 from wigeonreach.text import FleetText
 from wigeonreach.wire._command_messages import RecordWave
@@ -37,14 +40,14 @@
     {'paused': PauseWave, 'running': ResumeWave, 'stopped': StopWave},
 )
 # What brings a VM back that a wave has ended with.
-_LAST_EFFECTS = MappingProxyType(
+_FINAL_EFFECTS = MappingProxyType(
     {
         (VmPhase.BOOTED, Phase.MAINTAINED): EffectKind.RESTORE,
         (VmPhase.DRAINING, Phase.SKIPPED): EffectKind.UNDRAIN,
         (VmPhase.DRAINING, Phase.WAITING): EffectKind.UNDRAIN,
     },
 )
-_RESTING = frozenset((WaveStatus.PAUSED, WaveStatus.HALTED))
+_PAUSED_STATUSES = frozenset((WaveStatus.PAUSED, WaveStatus.HALTED))
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -90,7 +93,7 @@
         self._bodies: dict[str, WaveBody] = {}
         self._effects: list[WaveEffect] = []
         # What does not serve is looked at each time: news may get lost.
-        self._absent: dict[str, VmView] = {}
+        self._not_serving: dict[str, VmView] = {}
 
     def step(
         self,
@@ -115,25 +118,25 @@
             What is to be recorded, and done once that is recorded.
         """
         for view in vms:
-            self._know(view)
+            self._register_vm(view)
         for record in records:
-            self._steer(record, now_s)
-        for view in tuple(self._absent.values()):
+            self._apply_record(record, now_s)
+        for view in tuple(self._not_serving.values()):
             self._observe(view, now_s)
             if view.phase is VmPhase.SERVING:
-                self._absent.pop(view.name)
+                self._not_serving.pop(view.name)
         self._effects.extend(self._planner.handle(Tick(), now_s))
         effects = tuple(self._effects)
         self._effects.clear()
-        return Plan(tuple(self._changes()), effects)
+        return Plan(tuple(self._changed_records()), effects)
 
-    def recorded(self, wave_id: str, version: int) -> None:
+    def note_recorded(self, wave_id: str, version: int) -> None:
         """Note that the durable state took a record."""
         record = self._records[wave_id]
         self._records[wave_id] = _with_version(record, version)
 
-    def _know(self, view: VmView) -> None:
-        self._absent[view.name] = view
+    def _register_vm(self, view: VmView) -> None:
+        self._not_serving[view.name] = view
         pool = self._pool_of.get(view.name)
         if pool is not None and self._inventory.find(view.name) is None:
             self._inventory.put(
@@ -149,19 +152,19 @@
                 )
             )
 
-    def _steer(self, record: WaveRecord, now_s: float) -> None:
+    def _apply_record(self, record: WaveRecord, now_s: float) -> None:
         wave_id = record.wave_id
         before = self._records.get(wave_id)
         if before is None:
             body = decode_body(record.body)
             if _is_over(record, body):
                 return
-            self._take_up(record, body, now_s)
+            self._start_or_restore(record, body, now_s)
         self._records[wave_id] = record
         if before is None or before.phase != record.phase:
-            self._command(record, now_s)
+            self._send_command(record, now_s)
 
-    def _take_up(
+    def _start_or_restore(
         self,
         record: WaveRecord,
         body: WaveBody,
@@ -175,18 +178,19 @@
         vms = tuple(
             vm.name
             for vm in self._inventory
-            if not self._inventory.is_watched(vm.pool) and _is_meant(vm, body)
+            if not self._inventory.is_watched(vm.pool)
+            and _is_selected(vm, body)
         )
         start = StartWave(record.wave_id, record.wave_id, vms)
         if record.phase == 'running':
             self._effects.extend(self._planner.handle(start, now_s))
 
-    def _command(self, record: WaveRecord, now_s: float) -> None:
+    def _send_command(self, record: WaveRecord, now_s: float) -> None:
         wave = self._planner.waves.get(record.wave_id)
         kind = _COMMANDS.get(record.phase)
         if kind is None:
             return
-        is_resting = wave is not None and wave.status in _RESTING
+        is_resting = wave is not None and wave.status in _PAUSED_STATUSES
         if kind is ResumeWave and not is_resting:
             return
         command_id = f'{record.phase}@{record.version}'
@@ -200,20 +204,20 @@
         if self._planner.is_busy(view.name):
             # Of the platform's accord, or of the attempt that is running.
             is_news = view.phase is VmPhase.DOWN or self._is_current(view)
-            messages = on_its_way(view) if is_news else ()
+            messages = maintenance_reports(view) if is_news else ()
         else:
-            messages = of_own_accord(vm, view)
-            self._effects.extend(self._left_behind(view))
+            messages = unexpected_changes(vm, view)
+            self._effects.extend(self._resend_final_action(view))
         for message in messages:
             self._effects.extend(self._planner.handle(message, now_s))
 
-    def _left_behind(self, view: VmView) -> Iterable[WaveEffect]:
+    def _resend_final_action(self, view: VmView) -> Iterable[WaveEffect]:
         """Send a last action again that the platform seems to have lost."""
         operation_id, _, _ = view.action_id.rpartition('/')
         track = self._track(operation_id)
         if track is None:
             return
-        wanted = _LAST_EFFECTS.get((view.phase, track.phase))
+        wanted = _FINAL_EFFECTS.get((view.phase, track.phase))
         if wanted is not None:
             yield WaveEffect(wanted, view.name, operation_id)
 
@@ -228,7 +232,7 @@
         wave = self._planner.waves.get(wave_id)
         return wave.tracks.get(rest) if wave else None
 
-    def _changes(self) -> Iterable[RecordWave]:
+    def _changed_records(self) -> Iterable[RecordWave]:
         for wave_id, record in self._records.items():
             wave = self._planner.waves.get(wave_id)
             body = self._bodies.get(wave_id)
@@ -239,7 +243,7 @@
                 body.pools,
                 body.zones,
                 after,
-                self._waits_for(wave_id, after),
+                self._waiting_reason(wave_id, after),
             )
             event = _event_for(record.phase, after.status)
             if changed != body or event:
@@ -251,7 +255,7 @@
                     event,
                 )
 
-    def _waits_for(self, wave_id: str, state: WaveState) -> str:
+    def _waiting_reason(self, wave_id: str, state: WaveState) -> str:
         if state.reason:
             return state.reason
         verdict = self._planner.last_refusals.get(wave_id)
@@ -263,7 +267,7 @@
         return f'{verdict.refusal} of {verdict.subject}'
 
 
-def _is_meant(vm: Vm, body: WaveBody) -> bool:
+def _is_selected(vm: Vm, body: WaveBody) -> bool:
     is_pool = not body.pools or vm.pool in body.pools
     return is_pool and (not body.zones or vm.zone in body.zones)
 
--- a/src/wigeonreach/manager/_daemon.py
+++ b/src/wigeonreach/manager/_daemon.py
@@ -102,13 +102,13 @@
     async def _run(self) -> None:
         while not self.should_stop:
             try:
-                await self._round()
+                await self._run_round()
             except (PlatformError, StateError, WireError) as error:
                 # Nothing is lost: what was decided is recorded first.
-                self._forget(error.code)
+                self._handle_failure(error.code)
             await self.sleep(self._settings.poll_s)
 
-    async def _round(self) -> None:
+    async def _run_round(self) -> None:
         text = self._config.text
         had_token = self._lease.token
         if text is None or not await self._lease.ensure():
@@ -123,10 +123,10 @@
             self._revision = 0
         page = await self._platform.list_vms(self._revision)
         waves = await self._state.read(ReadWaves(), Waves)
-        await self._carry_out(page.vms, waves)
+        await self._execute(page.vms, waves)
         self._revision = page.revision
 
-    async def _carry_out(
+    async def _execute(
         self,
         vms: tuple[VmView, ...],
         waves: Waves,
@@ -135,12 +135,14 @@
         if core is None:
             return
         plan = core.step(vms, waves.waves, time.time())
-        await self._record(core, plan)
+        await self._record_changes(core, plan)
         if not self._lease.is_held:
             raise StateError(ResultCode.STATE_NOT_HELD, LEASE_NAME)
-        await asyncio.gather(*(self._act(effect) for effect in plan.effects))
+        await asyncio.gather(
+            *(self._send_action(effect) for effect in plan.effects)
+        )
 
-    async def _record(self, core: ManagerCore, plan: Plan) -> None:
+    async def _record_changes(self, core: ManagerCore, plan: Plan) -> None:
         for record in plan.records:
             action = msgspec.structs.replace(
                 record,
@@ -150,7 +152,7 @@
             reply = await self._state.submit(action)
             if reply.code != ResultCode.OK:
                 raise StateError(ResultCode(reply.code), reply.detail)
-            core.recorded(record.wave_id, reply.version)
+            core.note_recorded(record.wave_id, reply.version)
             if record.event:
                 self._log.info(
                     LogEvent.WAVE_CHANGED,
@@ -158,7 +160,7 @@
                     change=record.event,
                 )
 
-    async def _act(self, effect: WaveEffect) -> None:
+    async def _send_action(self, effect: WaveEffect) -> None:
         action = VmAction(
             ActionKind(effect.kind.value),
             effect.vm,
@@ -177,10 +179,10 @@
                 code=int(error.code),
             )
 
-    def _forget(self, code: ResultCode) -> None:
+    def _handle_failure(self, code: ResultCode) -> None:
         self._metrics.count('manager_rounds_failed', code.name.lower())
         self._log.warning(LogEvent.ROUND_FAILED, code=int(code))
-        if code not in _PASSING_FAULTS:
+        if code not in _TRANSIENT_FAULTS:
             self._core = None
 
     async def _on_health(self, _request: web.Request) -> web.Response:
@@ -197,6 +199,6 @@
 
 
 # A list that could not be read changes nothing that was decided.
-_PASSING_FAULTS = frozenset(
+_TRANSIENT_FAULTS = frozenset(
     (ResultCode.PLATFORM_UNREACHABLE, ResultCode.PLATFORM_ANSWER_WRONG),
 )
--- a/src/wigeonreach/manager/_job_actions.py
+++ b/src/wigeonreach/manager/_job_actions.py
@@ -26,7 +26,7 @@
 from wigeonreach.wire._command_messages import AcquireLease
 
 # A claim is for ever: nobody may start the job again.
-_FOREVER_S = 10 * 365 * 86_400.0
+_CLAIM_DURATION_S = 10 * 365 * 86_400.0
 _FIRST_TOKEN = 1
 
 
@@ -65,14 +65,14 @@
         self._state = state
         self._metrics = metrics
         self._log = logger
-        self._due: dict[str, TaskAction] = {}
+        self._pending: dict[str, TaskAction] = {}
 
     def add(self, effects: Iterable[Effect]) -> None:
         """Note what placement decided."""
         for effect in effects:
-            self._tell(effect)
+            self._report(effect)
             for action in _actions(effect):
-                self._due[action.action_id] = action
+                self._pending[action.action_id] = action
 
     async def send(self, once: frozenset[str]) -> list[TaskChanged]:
         """Send what is due.
@@ -88,14 +88,17 @@
             Ends of jobs that must not be started.
         """
         by_worker: dict[str, list[TaskAction]] = {}
-        for action in self._due.values():
+        for action in self._pending.values():
             by_worker.setdefault(action.worker, []).append(action)
         ends = await asyncio.gather(
-            *(self._send_all(actions, once) for actions in by_worker.values()),
+            *(
+                self._send_to_worker(actions, once)
+                for actions in by_worker.values()
+            ),
         )
         return [end for some in ends for end in some]
 
-    async def _send_all(
+    async def _send_to_worker(
         self,
         actions: list[TaskAction],
         once: frozenset[str],
@@ -105,8 +108,8 @@
         for action in actions:
             claim = await self._claim_for(action, once)
             if claim is _Claim.REFUSED:
-                self._due.pop(action.action_id)
-                ends.append(_may_have_run(action))
+                self._pending.pop(action.action_id)
+                ends.append(_possible_run(action))
             elif claim is _Claim.UNKNOWN or not await self._send(action):
                 break
         return ends
@@ -125,7 +128,7 @@
         claim = AcquireLease(
             f'job/{action.job_id}',
             self._holder,
-            _FOREVER_S,
+            _CLAIM_DURATION_S,
         )
         try:
             reply = await self._state.submit(claim, f'job/{action.action_id}')
@@ -141,12 +144,12 @@
             await self._platform.act(action)
         except PlatformError as error:
             if error.code is ResultCode.PLATFORM_FENCED:
-                self._due.pop(action.action_id)
+                self._pending.pop(action.action_id)
             return False
-        self._due.pop(action.action_id)
+        self._pending.pop(action.action_id)
         return True
 
-    def _tell(self, effect: Effect) -> None:
+    def _report(self, effect: Effect) -> None:
         if isinstance(effect, SetAside):
             event = LogEvent.JOB_SET_ASIDE
         elif isinstance(effect, ReportRun):
@@ -157,7 +160,7 @@
         self._log.warning(event, job=effect.job_id, reason=effect.reason.value)
 
 
-def _may_have_run(action: TaskAction) -> TaskChanged:
+def _possible_run(action: TaskAction) -> TaskChanged:
     return TaskChanged(action.job_id, action.lease_token, TaskEnd.FAILED)
 
 
--- a/src/wigeonreach/manager/_job_placer.py
+++ b/src/wigeonreach/manager/_job_placer.py
@@ -93,22 +93,22 @@
             if jobs is None:
                 await self.sleep(self._settings.poll_s)
                 continue
-            await self._round(jobs)
+            await self._run_round(jobs)
             if jobs.is_ready:
-                await self._take_messages(jobs)
+                await self._process_messages(jobs)
             else:
                 await self.sleep(self._settings.poll_s)
 
-    async def _round(self, jobs: ZoneJobs) -> None:
+    async def _run_round(self, jobs: ZoneJobs) -> None:
         try:
-            await jobs.round(time.time())
+            await jobs.run_round(time.time())
         except PlatformError as error:
             self._metrics.count(
                 'placement_rounds_failed',
                 error.code.name.lower(),
             )
 
-    async def _take_messages(self, jobs: ZoneJobs) -> None:
+    async def _process_messages(self, jobs: ZoneJobs) -> None:
         """Wait for messages, but no longer than until the next round."""
         ends_s = time.monotonic() + self._settings.poll_s
         while time.monotonic() < ends_s:
@@ -138,7 +138,7 @@
                 self._actions,
             )
         elif self._version != self._config.version:
-            self._jobs.take_text(text, time.time())
+            self._jobs.apply_text(text, time.time())
         self._version = self._config.version
         return self._jobs
 
@@ -147,32 +147,32 @@
         try:
             job = JobSchema.model_validate_json(body).job()
         except pydantic.ValidationError as error:
-            return _refusal(400, ResultCode.JOB_INVALID, str(error))
-        return self._send(job)
+            return _error_response(400, ResultCode.JOB_INVALID, str(error))
+        return self._enqueue(job)
 
     async def _on_cancel(self, request: web.Request) -> web.Response:
         body = await request.read()
         try:
             ids = CancelSchema.model_validate_json(body).job_ids
         except pydantic.ValidationError as error:
-            return _refusal(400, ResultCode.JOB_INVALID, str(error))
-        return self._send(JobsCancelled(ids))
+            return _error_response(400, ResultCode.JOB_INVALID, str(error))
+        return self._enqueue(JobsCancelled(ids))
 
     async def _on_status(self, request: web.Request) -> web.Response:
         job_id = request.match_info['job_id']
         status = self._jobs.status(job_id) if self._jobs else None
         if status is None:
-            return _refusal(404, ResultCode.WAVE_UNKNOWN, job_id)
+            return _error_response(404, ResultCode.WAVE_UNKNOWN, job_id)
         return web.Response(
             body=msgspec.json.encode(status),
             content_type='application/json',
         )
 
-    def _send(self, message: Job | JobsCancelled) -> web.Response:
+    def _enqueue(self, message: Job | JobsCancelled) -> web.Response:
         is_ready = self._jobs is not None and self._jobs.is_ready
         if not is_ready or self._inbox.full():
             self._metrics.count('jobs_refused', 'not_placing')
-            return _refusal(
+            return _error_response(
                 503,
                 ResultCode.JOB_NOT_PLACING,
                 'this manager does not place now; send it again',
@@ -181,7 +181,7 @@
         return web.Response(status=202)
 
 
-def _refusal(status: int, code: ResultCode, detail: str) -> web.Response:
+def _error_response(status: int, code: ResultCode, detail: str) -> web.Response:
     return web.Response(
         status=status,
         text=f'{int(code)} {code.name.lower()}: {detail}',
--- a/src/wigeonreach/manager/_jobs.py
+++ b/src/wigeonreach/manager/_jobs.py
@@ -33,8 +33,8 @@
 # Tokens of one holder; far more than it can use up.
 _TOKENS_PER_HOLDER = 2**32
 # A worker that does not answer for so long is treated as lost.
-_SILENCE_S = 10.0
-_ENDS = MappingProxyType(
+_WORKER_TIMEOUT_S = 10.0
+_TASK_ENDS = MappingProxyType(
     {
         'running': TaskEnd.STARTED,
         'finished': TaskEnd.FINISHED,
@@ -76,11 +76,11 @@
         )
         self._pool_of: dict[str, str] = {}
         self._revision = 0
-        self.take_text(text, 0)
+        self.apply_text(text, 0)
         self._platform = platform
         self._actions = actions
-        self._heard_s: dict[str, float] = {}
-        self._once: set[str] = set()
+        self._last_answer_s: dict[str, float] = {}
+        self._non_idempotent: set[str] = set()
         self._is_ready = False
 
     @property
@@ -91,7 +91,7 @@
         """
         return self._is_ready
 
-    def take_text(self, text: FleetText, now_s: float) -> None:
+    def apply_text(self, text: FleetText, now_s: float) -> None:
         """Act on a text from the next round on."""
         before = self._pool_of
         self._pool_of = {
@@ -120,14 +120,14 @@
     def submit(self, job: Job, now_s: float) -> None:
         """Take a job; one that is known changes nothing."""
         if not job.is_idempotent:
-            self._once.add(job.job_id)
+            self._non_idempotent.add(job.job_id)
         self.handle(JobSubmitted(job), now_s)
 
     def handle(self, event: Event, now_s: float) -> None:
         """Take one event and note what is to be done."""
         self._actions.add(self._placement.handle(event, now_s))
 
-    async def round(self, now_s: float) -> None:
+    async def run_round(self, now_s: float) -> None:
         """Look at the platform and do what is due.
 
         Raises
@@ -142,28 +142,28 @@
         self._revision = page.revision
         self._is_ready = True
         await asyncio.gather(
-            *(self._follow(name, now_s) for name in self._asked_workers()),
+            *(self._poll_worker(name, now_s) for name in self._busy_workers()),
         )
         self.handle(Tick(), now_s)
         await self.send(now_s)
 
     async def send(self, now_s: float) -> None:
         """Do what is due."""
-        for end in await self._actions.send(frozenset(self._once)):
+        for end in await self._actions.send(frozenset(self._non_idempotent)):
             self.handle(end, now_s)
 
     async def _observe(self, view: VmView, now_s: float) -> None:
         if view.phase is VmPhase.SERVING:
-            is_new = view.name not in self._heard_s
-            found = await self._found(view) if is_new else ()
-            self._heard_s[view.name] = now_s
+            is_new = view.name not in self._last_answer_s
+            found = await self._running_tasks(view) if is_new else ()
+            self._last_answer_s[view.name] = now_s
             self.handle(WorkerJoined(self._worker(view), found), now_s)
         elif view.phase is VmPhase.DRAINING:
             self.handle(WorkerDraining(view.name), now_s)
         else:
             self.handle(WorkerLost(view.name), now_s)
 
-    async def _found(self, view: VmView) -> tuple[FoundTask, ...]:
+    async def _running_tasks(self, view: VmView) -> tuple[FoundTask, ...]:
         """Return the tasks that an earlier manager has left running."""
         return tuple(
             FoundTask(self._unknown_job(task), task.lease_token)
@@ -195,30 +195,32 @@
             ),
         )
 
-    def _asked_workers(self) -> list[str]:
+    def _busy_workers(self) -> list[str]:
         """Return the workers that have jobs."""
         return [
-            name for name in self._heard_s if self._placement.has_jobs(name)
+            name
+            for name in self._last_answer_s
+            if self._placement.has_jobs(name)
         ]
 
-    async def _follow(self, worker: str, now_s: float) -> None:
+    async def _poll_worker(self, worker: str, now_s: float) -> None:
         try:
             tasks = await self._platform.list_tasks(worker)
         except PlatformError:
-            if now_s - self._heard_s[worker] > _SILENCE_S:
+            if now_s - self._last_answer_s[worker] > _WORKER_TIMEOUT_S:
                 self.handle(WorkerLost(worker), now_s)
             return
-        self._heard_s[worker] = now_s
+        self._last_answer_s[worker] = now_s
         self.handle(WorkerHeard(worker), now_s)
         for task in tasks:
-            for event in self._news(task):
+            for event in self._task_events(task):
                 self.handle(event, now_s)
 
-    def _news(self, task: TaskView) -> Iterator[Event]:
+    def _task_events(self, task: TaskView) -> Iterator[Event]:
         record = self._placement.job(task.job_id)
-        if not _is_followed(record):
+        if not _is_assigned(record):
             return
-        yield TaskChanged(task.job_id, task.lease_token, _ENDS[task.state])
+        yield TaskChanged(task.job_id, task.lease_token, _TASK_ENDS[task.state])
         if task.state == 'running' and task.used_memory_bytes:
             yield UsageReported(
                 task.job_id,
@@ -228,7 +230,7 @@
             )
 
 
-def _is_followed(record: JobRecord | None) -> bool:
+def _is_assigned(record: JobRecord | None) -> bool:
     if record is None or record.state in DONE_STATES:
         return False
     return record.state is not JobState.WAITING
--- a/src/wigeonreach/manager/_lease.py
+++ b/src/wigeonreach/manager/_lease.py
@@ -51,13 +51,13 @@
         self._state = state
         self._name = lease_name
         self._now_s = now_s
-        self._asked_s = float('-inf')
+        self._requested_s = float('-inf')
         self.token = 0
 
     @property
     def is_held(self) -> bool:
         """Whether nobody else can hold it at this moment."""
-        age_s = self._now_s() - self._asked_s
+        age_s = self._now_s() - self._requested_s
         return self.token > 0 and age_s < self._duration_s * _SAFE_RATIO
 
     async def ensure(self) -> bool:
@@ -73,7 +73,7 @@
         StateError
             If no replica told; what is held then still is until its end.
         """
-        age_s = self._now_s() - self._asked_s
+        age_s = self._now_s() - self._requested_s
         if self.token and age_s < self._duration_s * _RENEW_RATIO:
             return True
         # Counted from before the question: the answer may be late.
@@ -91,7 +91,7 @@
             self.token = 0
             return False
         self.token = reply.token
-        self._asked_s = asked_s
+        self._requested_s = asked_s
         return True
 
     async def release(self) -> None:
--- a/src/wigeonreach/manager/_news.py
+++ b/src/wigeonreach/manager/_vm_events.py
@@ -11,7 +11,7 @@
 Report: TypeAlias = DrainProgress | VmReport | VmBack
 
 
-def on_its_way(view: VmView) -> Iterable[Report]:
+def maintenance_reports(view: VmView) -> Iterable[Report]:
     """Tell of a VM that a wave has drained."""
     operation_id, _, kind = view.action_id.rpartition('/')
     if view.phase is VmPhase.DOWN:
@@ -24,7 +24,7 @@
             yield VmReport(view.name, event, operation_id)
 
 
-def of_own_accord(vm: Vm, view: VmView) -> Iterable[Report]:
+def unexpected_changes(vm: Vm, view: VmView) -> Iterable[Report]:
     """Tell of a VM that changed without an action of ours."""
     is_serving = view.phase is VmPhase.SERVING
     if vm.is_up and not is_serving:
--- a/src/wigeonreach/provider/_client.py
+++ b/src/wigeonreach/provider/_client.py
@@ -22,16 +22,16 @@
     VmPage,
 )
 from wigeonreach.provider._schema import (
-    DoneSchema,
+    ActionSchema,
     TasksSchema,
     VmPageSchema,
 )
 
 _TIMEOUT_S = 2.0
-_MAX_ANSWER_BYTES = 32 * 1024 * 1024
+_MAX_RESPONSE_BYTES = 32 * 1024 * 1024
 _FENCED_STATUS = 409
 _ERROR_STATUS = 400
-_Schema = TypeVar('_Schema', VmPageSchema, TasksSchema, DoneSchema)
+_Schema = TypeVar('_Schema', VmPageSchema, TasksSchema, ActionSchema)
 
 
 class PlatformClient:
@@ -71,15 +71,15 @@
     async def list_vms(self, after_revision: int) -> VmPage:
         """Return the VMs that changed after a revision; 0 for all."""
         path = f'/v1/vms?after={after_revision}'
-        answer = await self._ask('GET', path, VmPageSchema)
+        answer = await self._request('GET', path, VmPageSchema)
         return answer.page()
 
     async def list_tasks(self, worker: str) -> tuple[TaskView, ...]:
         """Return the tasks of a worker with their lagging usage."""
         path = f'/v1/workers/{worker}/tasks'
-        answer = await self._ask('GET', path, TasksSchema)
+        answer = await self._request('GET', path, TasksSchema)
         if any(task.worker != worker for task in answer.tasks):
-            raise self._fault(
+            raise self._counted_error(
                 ResultCode.PLATFORM_ANSWER_WRONG,
                 f'tasks of another worker than {worker}',
             )
@@ -94,16 +94,16 @@
             If the platform refused, or what it did is not known.
         """
         body = msgspec.json.encode(action)
-        answer = await self._ask('POST', _path(action), DoneSchema, body)
+        answer = await self._request('POST', _path(action), ActionSchema, body)
         expected = (action.action_id, _subject(action))
         if (answer.action_id, answer.subject) != expected:
-            raise self._fault(
+            raise self._counted_error(
                 ResultCode.PLATFORM_ANSWER_WRONG,
                 f'{answer.action_id} on {answer.subject}, '
                 f'wanted: {action.action_id}',
             )
 
-    async def _ask(
+    async def _request(
         self,
         method: str,
         path: str,
@@ -111,7 +111,7 @@
         body: bytes | None = None,
     ) -> _Schema:
         request_id = uuid.uuid4().hex
-        raw = await self._exchange(
+        raw = await self._send(
             method,
             path,
             body,
@@ -120,19 +120,19 @@
         try:
             answer = schema.model_validate_json(raw)
         except pydantic.ValidationError as error:
-            raise self._fault(
+            raise self._counted_error(
                 ResultCode.PLATFORM_ANSWER_WRONG,
                 f'{path}: {error.error_count()} faults',
             ) from error
         if answer.request_id != request_id:
             # A late answer to an earlier request, or one to somebody else.
-            raise self._fault(
+            raise self._counted_error(
                 ResultCode.PLATFORM_ANSWER_WRONG,
                 f'{path}: the answer belongs to another request',
             )
         return answer
 
-    async def _exchange(
+    async def _send(
         self,
         method: str,
         path: str,
@@ -140,22 +140,24 @@
         headers: Mapping[str, str],
     ) -> bytes:
         if self._session is None:
-            raise self._fault(ResultCode.PLATFORM_UNREACHABLE, 'not open')
+            raise self._counted_error(
+                ResultCode.PLATFORM_UNREACHABLE, 'not open'
+            )
         url = f'{self._url}{path}'
         try:
             async with self._session.request(
                 method, url, data=body, headers=headers
             ) as response:
-                raw = await response.content.read(_MAX_ANSWER_BYTES)
+                raw = await response.content.read(_MAX_RESPONSE_BYTES)
                 status = response.status
         except (aiohttp.ClientError, OSError, TimeoutError) as error:
-            raise self._fault(
+            raise self._counted_error(
                 ResultCode.PLATFORM_UNREACHABLE,
                 f'{path}: {error!r}',
             ) from error
         if status >= _ERROR_STATUS:
             is_fenced = status == _FENCED_STATUS
-            raise self._fault(
+            raise self._counted_error(
                 ResultCode.PLATFORM_FENCED
                 if is_fenced
                 else ResultCode.PLATFORM_REFUSED,
@@ -163,7 +165,7 @@
             )
         return raw
 
-    def _fault(self, code: ResultCode, detail: str) -> PlatformError:
+    def _counted_error(self, code: ResultCode, detail: str) -> PlatformError:
         self._metrics.count('platform_faults', code.name.lower())
         return PlatformError(code, detail)
 
--- a/src/wigeonreach/provider/_schema.py
+++ b/src/wigeonreach/provider/_schema.py
@@ -13,13 +13,13 @@
 _Amount = Annotated[float, pydantic.Field(ge=0, allow_inf_nan=False)]
 
 
-class _Answer(pydantic.BaseModel):
+class _Response(pydantic.BaseModel):
     """An answer names the request that it belongs to."""
 
     model_config = pydantic.ConfigDict(extra='ignore', frozen=True)
 
 
-class VmSchema(_Answer):
+class VmSchema(_Response):
     """One VM."""
 
     name: _Name
@@ -40,7 +40,7 @@
         return VmView(**self.model_dump())
 
 
-class VmPageSchema(_Answer):
+class VmPageSchema(_Response):
     """The answer to ``GET /v1/vms``."""
 
     request_id: str
@@ -52,7 +52,7 @@
         return VmPage(self.revision, tuple(vm.view() for vm in self.vms))
 
 
-class TaskSchema(_Answer):
+class TaskSchema(_Response):
     """One task."""
 
     job_id: _Name
@@ -68,14 +68,14 @@
         return TaskView(**self.model_dump())
 
 
-class TasksSchema(_Answer):
+class TasksSchema(_Response):
     """The answer to ``GET /v1/workers/NAME/tasks``."""
 
     request_id: str
     tasks: tuple[TaskSchema, ...]
 
 
-class DoneSchema(_Answer):
+class ActionSchema(_Response):
     """The answer to an action."""
 
     request_id: str
--- a/src/wigeonreach/standins/_announcer.py
+++ b/src/wigeonreach/standins/_announcer.py
@@ -17,8 +17,8 @@
 _RETRY_S: Final = 0.05
 _FIRST_INTERVAL_S: Final = 0.5
 _INTERVALS_PER_LEASE: Final = 4
-_KNOWN_EVERYWHERE: Final = 204
-_PASSED_ON_IN_PART: Final = 202
+_FULLY_REPLICATED: Final = 204
+_PARTLY_REPLICATED: Final = 202
 
 
 class Announcement(msgspec.Struct, frozen=True, omit_defaults=True):
@@ -74,15 +74,15 @@
         self._options = options
         self._sequence = 0
         self._interval_s = options.interval_s or _FIRST_INTERVAL_S
-        self._told: set[str] = set()
-        self._left = asyncio.Event()
+        self._informed: set[str] = set()
+        self._leaving = asyncio.Event()
         self._rng = random.Random(target_id)  # noqa: S311
         self.incarnation_ns = time.time_ns()
 
     @property
     def state(self) -> str:
         """What the target says of itself."""
-        return 'leaving' if self._left.is_set() else 'serving'
+        return 'leaving' if self._leaving.is_set() else 'serving'
 
     @property
     def headers(self) -> dict[str, str]:
@@ -96,30 +96,32 @@
 
     def leave(self) -> None:
         """From now on the target says that it leaves."""
-        self._left.set()
+        self._leaving.set()
 
     async def run(self) -> None:
         """Announce until the target left and enough entries know it."""
         async with aiohttp.ClientSession() as session:
-            while not self._left.is_set():
-                await self._announce(session, self._pick())
+            while not self._leaving.is_set():
+                await self._announce(session, self._choose_entry())
                 with contextlib.suppress(TimeoutError):
-                    await asyncio.wait_for(self._left.wait(), self._interval_s)
+                    await asyncio.wait_for(
+                        self._leaving.wait(), self._interval_s
+                    )
             while not await self._announce_leave(session):
                 await asyncio.sleep(_RETRY_S)
 
     async def _announce_leave(self, session: aiohttp.ClientSession) -> bool:
-        entry = self._pick()
+        entry = self._choose_entry()
         status = await self._announce(session, entry)
-        if status == _PASSED_ON_IN_PART:
-            self._told.add(entry)
-            is_all = len(self._told) == len(self._options.entries)
+        if status == _PARTLY_REPLICATED:
+            self._informed.add(entry)
+            is_all = len(self._informed) == len(self._options.entries)
             return is_all or self._options.is_naive
-        return status == _KNOWN_EVERYWHERE
+        return status == _FULLY_REPLICATED
 
-    def _pick(self) -> str:
+    def _choose_entry(self) -> str:
         entries = self._options.entries
-        fresh = [entry for entry in entries if entry not in self._told]
+        fresh = [entry for entry in entries if entry not in self._informed]
         return self._rng.choice(fresh or entries)
 
     async def _announce(
@@ -138,12 +140,12 @@
                 data=msgspec.json.encode(self._announcement()),
                 timeout=aiohttp.ClientTimeout(total=_TIMEOUT_S),
             ) as answer:
-                self._follow_pace(answer)
+                self._adopt_interval(answer)
                 return answer.status
         except (aiohttp.ClientError, OSError, TimeoutError):
             return 0
 
-    def _follow_pace(self, answer: aiohttp.ClientResponse) -> None:
+    def _adopt_interval(self, answer: aiohttp.ClientResponse) -> None:
         asked_s = float(answer.headers.get('X-Announce-After-S', '0'))
         if asked_s and not self._options.interval_s:
             self._interval_s = asked_s
--- a/src/wigeonreach/standins/_faults.py
+++ b/src/wigeonreach/standins/_faults.py
@@ -24,7 +24,7 @@
     DOUBLED = 'doubled'
 
 
-class Faults:
+class FaultInjector:
     """Break some of a target's answers; its work is done all the same.
 
     Parameters
@@ -49,7 +49,7 @@
         self._rng = rng
         self._previous = ('none', 'none')
 
-    async def spoil(
+    async def faulty_response(
         self,
         request: web.Request,
         text: str,
@@ -78,21 +78,23 @@
                 await asyncio.sleep(_LATE_S)
                 return None
             case Fault.CROSSED:
-                return _whole(*previous)
+                return _response(*previous)
             case Fault.SHORT:
-                raw = _raw(asked, text, len(text) + 5)
+                raw = _raw_response(asked, text, len(text) + 5)
             case Fault.DOUBLED:
-                raw = _raw(asked, text, len(text)) + _raw(*previous, -1)
+                raw = _raw_response(asked, text, len(text)) + _raw_response(
+                    *previous, -1
+                )
             case _:
                 raw = _GARBAGE
         return _send(request, raw)
 
 
-def _whole(request_id: str, text: str) -> web.Response:
+def _response(request_id: str, text: str) -> web.Response:
     return web.Response(text=text, headers={REQUEST_ID_HEADER: request_id})
 
 
-def _raw(request_id: str, text: str, length: int) -> bytes:
+def _raw_response(request_id: str, text: str, length: int) -> bytes:
     if length < 0:
         length = len(text)
     head = (
--- a/src/wigeonreach/standins/_platform.py
+++ b/src/wigeonreach/standins/_platform.py
@@ -31,7 +31,7 @@
 _Ratio = Annotated[float, typer.Option(min=0, max=1)]
 
 
-class Faults(msgspec.Struct, frozen=True):
+class FaultRatios(msgspec.Struct, frozen=True):
     """How often an answer is late, lost, wrong, or a request done twice."""
 
     late_ratio: float
@@ -64,7 +64,7 @@
         frozenset(bad_images),
         action_log,
     )
-    faults = Faults(late_ratio, lost_ratio, doubled_ratio, wrong_ratio)
+    faults = FaultRatios(late_ratio, lost_ratio, doubled_ratio, wrong_ratio)
     application = build_application(fleet, faults, seed)
     host, _, port = http.rpartition(':')
     web.run_app(application, host=host, port=int(port), print=None)
@@ -72,7 +72,7 @@
 
 def build_application(
     fleet: Fleet,
-    faults: Faults,
+    faults: FaultRatios,
     seed: int,
 ) -> web.Application:
     """Return the platform's HTTP interface over a fleet."""
@@ -83,7 +83,7 @@
         request: web.Request,
         handler: _Handler,
     ) -> web.StreamResponse:
-        return await _misbehave(request, handler, faults, rng)
+        return await _inject_faults(request, handler, faults, rng)
 
     application = web.Application(middlewares=[misbehave])
     application[_FLEET] = fleet
@@ -94,10 +94,10 @@
     return application
 
 
-async def _misbehave(
+async def _inject_faults(
     request: web.Request,
     handler: _Handler,
-    faults: Faults,
+    faults: FaultRatios,
     rng: random.Random,
 ) -> web.StreamResponse:
     answer = await handler(request)
@@ -139,7 +139,7 @@
         request.app[_FLEET].act(action)
     except FencedError as error:
         raise web.HTTPConflict from error
-    return _done(request, action.action_id, action.vm)
+    return _acknowledge(request, action.action_id, action.vm)
 
 
 async def _on_task_action(request: web.Request) -> web.Response:
@@ -148,10 +148,12 @@
         request.app[_FLEET].act_on_task(action)
     except FencedError as error:
         raise web.HTTPConflict from error
-    return _done(request, action.action_id, action.job_id)
+    return _acknowledge(request, action.action_id, action.job_id)
 
 
-def _done(request: web.Request, action_id: str, subject: str) -> web.Response:
+def _acknowledge(
+    request: web.Request, action_id: str, subject: str
+) -> web.Response:
     return _json(
         {
             'request_id': request.headers.get('X-Request-Id', ''),
--- a/src/wigeonreach/standins/_platform_fleet.py
+++ b/src/wigeonreach/standins/_platform_fleet.py
@@ -76,12 +76,12 @@
         self._timing = timing
         self._bad_images = bad_images
         flags = os.O_WRONLY | os.O_CREAT | os.O_APPEND
-        self._descriptor = os.open(log_path, flags, 0o600)
+        self._log_fd = os.open(log_path, flags, 0o600)
         self._changed = dict.fromkeys(self._vms, 1)
         self._revision = 1
         self._tokens: dict[str, int] = {}
-        self._done: set[str] = set()
-        self._due: list[tuple[float, str, ActionKind]] = []
+        self._seen_actions: set[str] = set()
+        self._scheduled: list[tuple[float, str, ActionKind]] = []
         self._tasks: dict[str, TaskView] = {}
 
     def page(self, after: int) -> tuple[int, list[VmView]]:
@@ -108,13 +108,13 @@
             If it is older than one that was seen.
         """
         self.advance()
-        self._fence(action.vm, action.fencing_token)
+        self._check_token(action.vm, action.fencing_token)
         done = f'{action.kind}/{action.action_id}'
-        if done in self._done:
+        if done in self._seen_actions:
             return
-        self._done.add(done)
-        self._write(action.vm, action.kind, action)
-        self._begin(action)
+        self._seen_actions.add(done)
+        self._log_vm(action.vm, action.kind, action)
+        self._start_action(action)
 
     def act_on_task(self, action: TaskAction) -> None:
         """Start a task under a lease, or end or slow it.
@@ -124,7 +124,7 @@
         FencedError
             If the token is lower than one seen for the job.
         """
-        self._fence(f'job/{action.job_id}', action.lease_token)
+        self._check_token(f'job/{action.job_id}', action.lease_token)
         known = self._tasks.get(action.job_id)
         if known and known.lease_token == action.lease_token:
             if action.kind is ActionKind.STOP:
@@ -133,7 +133,7 @@
         # A stop that overtakes its start leaves proof that it never ran.
         is_start = action.kind is ActionKind.START
         if is_start:
-            self._write_task(action)
+            self._log_task_start(action)
         self._tasks[action.job_id] = TaskView(
             action.job_id,
             action.worker,
@@ -147,20 +147,22 @@
     def advance(self) -> None:
         """Let what is due happen."""
         now_s = time.monotonic()
-        due = [entry for entry in self._due if entry[0] <= now_s]
-        self._due = [entry for entry in self._due if entry[0] > now_s]
+        due = [entry for entry in self._scheduled if entry[0] <= now_s]
+        self._scheduled = [
+            entry for entry in self._scheduled if entry[0] > now_s
+        ]
         for _, name, kind in sorted(due):
-            self._finish(name, kind)
+            self._finish_action(name, kind)
         for task in tuple(self._tasks.values()):
             age_s = time.time() - task.measured_at_s
             if task.state == 'running' and age_s > self._timing.task_s:
                 self._end_task(task, 'finished')
 
-    def _begin(self, action: VmAction) -> None:
+    def _start_action(self, action: VmAction) -> None:
         name = action.vm
         match action.kind:
             case ActionKind.DRAIN:
-                self._set(
+                self._update(
                     name,
                     action.action_id,
                     phase=VmPhase.DRAINING,
@@ -168,16 +170,16 @@
                     open_checkpoints=1,
                     is_healthy=None,
                 )
-                self._later(self._timing.drain_s, action)
+                self._schedule(self._timing.drain_s, action)
             case ActionKind.REBOOT:
-                self._set(name, action.action_id, phase=VmPhase.REBOOTING)
+                self._update(name, action.action_id, phase=VmPhase.REBOOTING)
                 self._stop_tasks(name)
-                self._later(self._timing.reboot_s, action)
+                self._schedule(self._timing.reboot_s, action)
             case ActionKind.CHECK:
-                self._set(name, action.action_id)
-                self._later(self._timing.check_s, action)
+                self._update(name, action.action_id)
+                self._schedule(self._timing.check_s, action)
             case _:
-                self._set(
+                self._update(
                     name,
                     action.action_id,
                     phase=VmPhase.SERVING,
@@ -185,16 +187,16 @@
                     open_checkpoints=0,
                 )
 
-    def _finish(self, name: str, kind: ActionKind) -> None:
+    def _finish_action(self, name: str, kind: ActionKind) -> None:
         vm = self._vms[name]
         if kind is ActionKind.DRAIN and vm.phase is VmPhase.DRAINING:
-            self._set(name, vm.action_id, in_flight=0, open_checkpoints=0)
+            self._update(name, vm.action_id, in_flight=0, open_checkpoints=0)
         elif kind is ActionKind.REBOOT and vm.phase is VmPhase.REBOOTING:
-            self._write(name, 'booted', None)
-            self._set(name, vm.action_id, phase=VmPhase.BOOTED)
+            self._log_vm(name, 'booted', None)
+            self._update(name, vm.action_id, phase=VmPhase.BOOTED)
         elif kind is ActionKind.CHECK and vm.phase is VmPhase.BOOTED:
             is_healthy = name not in self._bad_images
-            self._set(name, vm.action_id, is_healthy=is_healthy)
+            self._update(name, vm.action_id, is_healthy=is_healthy)
 
     def _with_tasks(self, vm: VmView) -> VmView:
         running = sum(
@@ -214,7 +216,7 @@
         self._revision += 1
         self._changed[task.worker] = self._revision
 
-    def _write_task(self, action: TaskAction) -> None:
+    def _log_task_start(self, action: TaskAction) -> None:
         line = ActionLine(
             at_s=time.monotonic(),
             vm=action.worker,
@@ -224,13 +226,13 @@
             fencing_token=action.lease_token,
             job_id=action.job_id,
         )
-        os.write(self._descriptor, b'%b\n' % msgspec.json.encode(line))
+        os.write(self._log_fd, b'%b\n' % msgspec.json.encode(line))
 
-    def _later(self, delay_s: float, action: VmAction) -> None:
+    def _schedule(self, delay_s: float, action: VmAction) -> None:
         at_s = time.monotonic() + delay_s
-        self._due.append((at_s, action.vm, action.kind))
+        self._scheduled.append((at_s, action.vm, action.kind))
 
-    def _set(self, name: str, action_id: str, **changes: Any) -> None:
+    def _update(self, name: str, action_id: str, **changes: Any) -> None:
         self._vms[name] = dataclasses.replace(
             self._vms[name],
             action_id=action_id,
@@ -239,12 +241,12 @@
         self._revision += 1
         self._changed[name] = self._revision
 
-    def _fence(self, subject: str, token: int) -> None:
+    def _check_token(self, subject: str, token: int) -> None:
         if token < self._tokens.get(subject, 0):
             raise FencedError(subject)
         self._tokens[subject] = token
 
-    def _write(self, name: str, what: str, action: VmAction | None) -> None:
+    def _log_vm(self, name: str, what: str, action: VmAction | None) -> None:
         line = ActionLine(
             at_s=time.monotonic(),
             vm=name,
@@ -253,7 +255,7 @@
             action_id=action.action_id if action else '',
             fencing_token=action.fencing_token if action else 0,
         )
-        os.write(self._descriptor, b'%b\n' % msgspec.json.encode(line))
+        os.write(self._log_fd, b'%b\n' % msgspec.json.encode(line))
 
 
 def read_action_log(path: pathlib.Path) -> list[ActionLine]:
--- a/src/wigeonreach/standins/_run_log.py
+++ b/src/wigeonreach/standins/_run_log.py
@@ -50,7 +50,7 @@
     ) -> None:
         """Open the file for appending."""
         flags = os.O_WRONLY | os.O_CREAT | os.O_APPEND
-        self._descriptor = os.open(path, flags, 0o600)
+        self._fd = os.open(path, flags, 0o600)
         self._target_id = target_id
         self._process_id = process_id
 
@@ -64,7 +64,7 @@
             running,
             time.monotonic(),
         )
-        os.write(self._descriptor, b'%b\n' % msgspec.json.encode(line))
+        os.write(self._fd, b'%b\n' % msgspec.json.encode(line))
 
 
 def read_run_log(path: pathlib.Path) -> list[RunLine]:
--- a/src/wigeonreach/standins/_target.py
+++ b/src/wigeonreach/standins/_target.py
@@ -17,10 +17,10 @@
     Announcer,
     AnnouncerOptions,
 )
-from wigeonreach.standins._faults import REQUEST_ID_HEADER, Fault, Faults
+from wigeonreach.standins._faults import REQUEST_ID_HEADER, Fault, FaultInjector
 from wigeonreach.standins._run_log import RunKind, RunLog
 
-_LINGER_S: Final = 3.0
+_SHUTDOWN_DELAY_S: Final = 3.0
 _UNLIMITED: Final = 1_000_000
 
 
@@ -52,7 +52,7 @@
         announcer: Announcer,
         run_log: RunLog,
         service_time_s: float,
-        faults: Faults,
+        faults: FaultInjector,
         run_slots: int = _UNLIMITED,
     ) -> None:
         """Prepare; nothing is announced yet."""
@@ -64,7 +64,7 @@
         self._work_slots = asyncio.Semaphore(run_slots)
         self._faults = faults
         self._running = 0
-        self._left = asyncio.Event()
+        self._leaving = asyncio.Event()
         self._rng = random.Random(target_id)  # noqa: S311
 
     async def run(self) -> None:
@@ -79,15 +79,15 @@
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self._leave)
         announcing = asyncio.ensure_future(self._announcer.run())
-        await self._left.wait()
-        await asyncio.sleep(_LINGER_S)
+        await self._leaving.wait()
+        await asyncio.sleep(_SHUTDOWN_DELAY_S)
         announcing.cancel()
         await runner.cleanup()
 
     def _leave(self) -> None:
         self._announcer.leave()
         self._run_log.write(RunKind.LEAVING, '', 0)
-        self._left.set()
+        self._leaving.set()
 
     async def _on_state(self, _request: web.Request) -> web.Response:
         return web.Response(headers=self._announcer.headers)
@@ -104,7 +104,7 @@
             self._running -= 1
         self._run_log.write(RunKind.END, work, self._running)
         text = f'{self._target_id} {work}'
-        spoiled = await self._faults.spoil(request, text)
+        spoiled = await self._faults.faulty_response(request, text)
         if spoiled is not None:
             return spoiled
         return web.Response(
@@ -140,7 +140,7 @@
     """Run one target."""
     options = AnnouncerOptions(tuple(entries), announce_s, lease_s, naive)
     log = RunLog(run_log, target_id, os.getpid())
-    faults = Faults(
+    faults = FaultInjector(
         tuple(fault),
         fault_ratio,
         random.Random(target_id),  # noqa: S311
@@ -165,7 +165,7 @@
     announcer: Announcer,
     log: RunLog,
     service_time_s: float,
-    faults: Faults,
+    faults: FaultInjector,
     run_slots: int,
 ) -> None:
     await Target(
--- a/src/wigeonreach/standins/_worker.py
+++ b/src/wigeonreach/standins/_worker.py
@@ -60,7 +60,7 @@
     over: dict[TaskKey, int] = dataclasses.field(default_factory=dict)
     born_ms: int | None = None
     clock_ms: int | None = None
-    _numbers: Iterator[int] = dataclasses.field(
+    _end_numbers: Iterator[int] = dataclasses.field(
         default_factory=lambda: itertools.count(1),
     )
 
@@ -104,7 +104,7 @@
         self.running = {}
         self.ended = []
         self.over = {}
-        self._numbers = itertools.count(1)
+        self._end_numbers = itertools.count(1)
 
     def obey(
         self,
@@ -140,7 +140,7 @@
             if (stop.task, stop.run) in self.running:
                 self.end((stop.task, stop.run), RunEnd.STOPPED)
         begun = tuple(
-            start for start in orders.starts if self._may_begin(start)
+            start for start in orders.starts if self._may_start(start)
         )
         for start in begun:
             run = (start.task, start.run)
@@ -165,15 +165,15 @@
     def end(self, run: Run, how: RunEnd) -> None:
         """Let a run end."""
         self.running.pop(run)
-        self._tell_end(run, how)
+        self._report_end(run, how)
 
-    def _may_begin(self, start: StartOrder) -> bool:
+    def _may_start(self, start: StartOrder) -> bool:
         """Refuse a run that is not higher than one that ended here."""
         if start.run > self.over.get(start.task, 0):
             return True
-        self._tell_end((start.task, start.run), RunEnd.REFUSED)
+        self._report_end((start.task, start.run), RunEnd.REFUSED)
         return False
 
-    def _tell_end(self, run: Run, how: RunEnd) -> None:
+    def _report_end(self, run: Run, how: RunEnd) -> None:
         self.over[run[0]] = max(run[1], self.over.get(run[0], 0))
-        self.ended.append(EndedRun(next(self._numbers), *run, how))
+        self.ended.append(EndedRun(next(self._end_numbers), *run, how))
--- a/tests/lab/test_day.py
+++ b/tests/lab/test_day.py
@@ -26,17 +26,17 @@
     pool_vms=2, standby_vms=3, rack_vms=2, millicores=16_000, memory_mb=32_768
 )
 _DEMAND = DemandPlan(
-    services=2, jobs_per_s=3.0, turn_s=3.0, length_s=9.0, serving=2
+    services=2, jobs_per_s=3.0, peak_s=3.0, length_s=9.0, serving_tasks=2
 )
 # A sixth of what makes the fleet late: 0.687 on the mean of eight days.
 _CALM = DayPlan(dataclasses.replace(_DEMAND, jobs_per_s=0.5), _FLEET)
-_TROUBLE = DayPlan(_DEMAND, _FLEET, faults_per_s=1.5, terms=1)
+_TROUBLE = DayPlan(_DEMAND, _FLEET, faults_per_s=1.5, leader_changes=1)
 _KINDS = DayPlan(
     DemandPlan(
         services=2,
         jobs_per_s=1.0,
         length_s=6.0,
-        serving=0,
+        serving_tasks=0,
         kinds=KindShares(gang=0.3, near=0.3, label=0.3, copies=0.3, timed=0.2),
     ),
     _FLEET,
@@ -45,7 +45,7 @@
 
 
 def _play(plan: DayPlan, seed: int = 1) -> Outcome:
-    return Day(plan, seed).play()
+    return Day(plan, seed).simulate()
 
 
 class TestDay(testtools.TestCase):
--- a/tests/provider/test_client.py
+++ b/tests/provider/test_client.py
@@ -23,7 +23,7 @@
     VmAction,
     VmPhase,
 )
-from wigeonreach.standins._platform import Faults, build_application
+from wigeonreach.standins._platform import FaultRatios, build_application
 from wigeonreach.standins._platform_fleet import (
     Fleet,
     Timing,
@@ -129,11 +129,11 @@
         self._talk(talk)
 
     def _talk(self, talk: _Talk, **ratios: float) -> None:
-        nothing = Faults(0, 0, 0, 0)
+        nothing = FaultRatios(0, 0, 0, 0)
         faults = msgspec.structs.replace(nothing, **ratios)
         asyncio.run(self._serve(talk, faults))
 
-    async def _serve(self, talk: _Talk, faults: Faults) -> None:
+    async def _serve(self, talk: _Talk, faults: FaultRatios) -> None:
         application = build_application(self.fleet, faults, seed=1)
         async with TestServer(application) as server:
             client = PlatformClient(str(server.make_url('')), Metrics())
