--- a/src/wigeonreach/lab/__init__.py
+++ b/src/wigeonreach/lab/__init__.py
@@ -1,7 +1,8 @@
-"""Play the scheduler against an emulated fleet, in virtual time.
+"""Simulate the scheduler against an emulated fleet, in virtual time.
 
-Policies are compared on generated days of seconds, many in a minute, where the
-real system takes a minute each.  Daemons do not import this package.
+Policies are compared on generated days of a few seconds each; many are
+simulated in a minute, where the real system takes a minute for each.  Daemons
+do not import this package.
 """
 
 from wigeonreach.lab._checks import (
--- a/src/wigeonreach/lab/__main__.py
+++ b/src/wigeonreach/lab/__main__.py
@@ -37,7 +37,7 @@
         float, typer.Option(help='Share of each special kind of job.')
     ] = 0.0,
 ) -> None:
-    """Play the variants on the same days and print a table."""
+    """Simulate the variants on the same days and print a table."""
     names = list(VARIANTS) if 'all' in variant else [_BASE, *variant]
     chosen = [VARIANTS[name] for name in dict.fromkeys(names)]
     for text in override:
--- a/src/wigeonreach/lab/_checks.py
+++ b/src/wigeonreach/lab/_checks.py
@@ -1,4 +1,4 @@
-"""Check, while a day is played, what must never happen."""
+"""Invariants that are checked while a day is simulated."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class BrokenRuleError(AssertionError):
-    """Something happened that must never happen."""
+    """An invariant of the scheduler was violated."""
 
 
 def check_start(order: StartOrder, store: JobStore) -> None:
@@ -22,7 +22,8 @@
     Raises
     ------
     BrokenRuleError
-        If its job has ended, its turn has not come or it failed too often.
+        If the job has ended, an earlier step is not done, the run is not
+        recorded or the task has failed too often.
     """
     wrong = _start_violation(order, store)
     if wrong:
@@ -30,7 +31,7 @@
 
 
 def _start_violation(order: StartOrder, store: JobStore) -> str:
-    """Return what is wrong with an order, or nothing."""
+    """Return which invariant an order violates, or an empty string."""
     key = order.task
     job = store.job_of(key)
     task = job.task(key) if job else None
@@ -47,12 +48,13 @@
 
 
 def check_workers(workers: Iterable[StandInWorker], store: JobStore) -> None:
-    """Check what runs at one moment.
+    """Check the runs of all workers at one moment.
 
     Raises
     ------
     BrokenRuleError
-        If two runs of one task do, or more on a worker than it holds.
+        If two runs of a task are active that must not be, or the runs of a
+        worker exceed its capacity.
     """
     runs: collections.Counter[TaskKey] = collections.Counter()
     for worker in workers:
--- a/src/wigeonreach/lab/_day.py
+++ b/src/wigeonreach/lab/_day.py
@@ -1,4 +1,4 @@
-"""Play one day: callers, workers and the leader, in steps of virtual time."""
+"""Simulation of one day: callers, workers and the leader."""
 
 from __future__ import annotations
 
@@ -33,27 +33,28 @@
 from wigeonreach.wire._worker_messages import WorkerOrders
 
 _STEP_S = 0.05
-# As the core process does.
+# As in the core process.
 _MOVE_INTERVAL_S = 0.1
 _LIST_INTERVAL_S = 4.0
 _CHECK_INTERVAL_S = 0.25
-# Until a leader knows its fleet, and after the last job came.
+# Before the first job, for the leader to learn its fleet; after the last one,
+# for jobs to complete.
 _WARM_UP_S = 9.0
 _COOL_DOWN_S = 14.0
-# Each task takes so much more or less than the others of its step.
+# Relative deviation of a task's duration from the mean of its step.
 _DURATION_SPREAD = 0.3
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DayPlan:
-    """One day.
+    """Parameters of one day.
 
     Attributes
     ----------
     faults_per_s
-        Workers that crash, are cut off or turn slow.
+        Rate at which workers crash, become unreachable or slow down.
     terms
-        Changes of leader, at even distances.
+        Number of leader changes, evenly spaced.
     """
 
     demand: DemandPlan = DemandPlan()
@@ -63,18 +64,18 @@
 
 
 class Day:
-    """One day, drawn from a seed.
+    """One simulated day, generated from a seed.
 
     Parameters
     ----------
     plan
-        What it is like.
+        Parameters of the day.
     seed
-        The same seed gives the same arrivals, times and faults.
+        The same seed gives the same arrivals, durations and faults.
     """
 
     def __init__(self, plan: DayPlan, seed: int) -> None:
-        """Have a fleet and no job."""
+        """Create the fleet and draw the jobs; none is submitted yet."""
         self.outcome = Outcome()
         self.store = JobStore()
         self._plan = plan
@@ -102,12 +103,12 @@
         self._leader = self._new_leader()
 
     def simulate(self) -> Outcome:
-        """Play the whole day.
+        """Simulate the whole day.
 
         Raises
         ------
         BrokenRuleError
-            If something happens that must never happen.
+            If an invariant is violated.
         """
         length_s = _WARM_UP_S + self._plan.demand.length_s + _COOL_DOWN_S
         for number in range(round(length_s / _STEP_S)):
@@ -245,7 +246,7 @@
             ratios.append(took_s / objective_s)
 
     def _pop_completed(self) -> Iterator[Arrival]:
-        """Yield the jobs that were completed since the last look."""
+        """Remove and yield the jobs that completed since the last step."""
         for job_id, arrival in list(self._not_completed.items()):
             job = self.store.jobs.get(job_id)
             if job is not None and job.phase is JobPhase.COMPLETED:
@@ -267,7 +268,7 @@
                 self.outcome.ratios[arrival.kind].append(float('inf'))
 
     def _task_duration_s(self, key: TaskKey) -> float:
-        """Return how long a task takes, the same in each of its runs."""
+        """Return the duration of a task, equal in each of its runs."""
         lasts_s = self._durations_s.get(key)
         if lasts_s is None:
             drawn = random.Random(f'{self._seed}{key}')
--- a/src/wigeonreach/lab/_demand.py
+++ b/src/wigeonreach/lab/_demand.py
@@ -1,4 +1,4 @@
-"""Draw the jobs of a day: turns of demand, kinds of steps, wrong estimates."""
+"""Random jobs of a day: demand peaks, kinds of steps, estimation errors."""
 
 from __future__ import annotations
 
@@ -10,25 +10,27 @@
 from wigeonreach.jobs import JobSpec, QueueSpec, ServiceSpec, StepSpec
 
 STANDBY = 'standby'
-# Of the usual rate, between the turns of a queue.
+# Share of the peak rate at which jobs arrive outside a queue's peaks.
 _OFF_PEAK_RATIO = 0.05
 _MS = 1000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KindShares:
-    """Which part of the jobs is of each kind; one job may be of several.
+    """Share of jobs of each kind; a job may be of several kinds.
+
+    The field names are the names of the kinds.
 
     Attributes
     ----------
     near
-        Has its data near a rack.
+        The data of the job is on one rack.
     label
-        Needs a label that half of the VMs carry.
+        The job requires a label that half of the VMs have.
     copies
-        May run twice at a time.
+        Its tasks may run speculatively, two runs at a time.
     timed
-        Comes back some times.
+        The job recurs several times.
     """
 
     gang: float = 0.0
@@ -40,24 +42,25 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DemandPlan:
-    """What a day's callers ask for.
+    """Parameters of the load of one day.
 
     Attributes
     ----------
     services
-        Each has one queue and one pool.
+        Number of services; each has one queue and one pool.
     jobs_per_s
-        Of each queue in its turn.
+        Arrival rate of each queue during its peaks.
     turn_s
-        How long a turn lasts; the queues have theirs one after the other.
+        Length of a peak; the queues peak one after the other.
     length_s
-        How long jobs come.
-    width, lasts_s, millicores
-        Means of a step's tasks, of their time and of their processors.
+        Period during which jobs arrive.
+    tasks_per_step, duration_s, millicores
+        Means of a step's task count, and of its tasks' duration and CPU.
     estimate_error
-        A task takes from 1 less this to 1 plus this of what is declared.
-    serving
-        Serving tasks of each service.
+        The true duration is between 1 minus this and 1 plus this times the
+        estimate.
+    serving_tasks
+        Number of serving tasks of each service.
     """
 
     services: int = 4
@@ -74,14 +77,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Arrival:
-    """A job that comes at a time.
+    """A job and when it is submitted.
 
     Attributes
     ----------
     kind
-        What it is of, for tables.
-    lasts_s
-        True time of a task of each step, on a sound worker near its data.
+        Names of its kinds, as shown in tables.
+    durations_s
+        True duration of a task of each step, on a healthy worker near its
+        data.
     """
 
     at_s: float
@@ -92,7 +96,7 @@
 
 
 def service_name(number: int) -> str:
-    """Return the name of a service, which is that of its queue too."""
+    """Return the name of a service, which is also that of its queue."""
     return f'service-{number}'
 
 
@@ -115,7 +119,7 @@
 
 
 def services(plan: DemandPlan) -> tuple[ServiceSpec, ...]:
-    """Return all services, and the pool whose VMs cost nothing."""
+    """Return all services, and the standby pool, whose VMs cost nothing."""
     serving = map(service_name, range(plan.services))
     return (
         *(ServiceSpec(name) for name in serving),
@@ -124,16 +128,16 @@
 
 
 class Demand:
-    """The arrivals of one day.
+    """Generator of the arrivals of one day.
 
     Parameters
     ----------
     plan
-        What is asked for.
+        Parameters of the load.
     racks, labels
-        Where data may lie, and what may be needed.
+        Racks that may hold data, and labels that jobs may require.
     seed
-        Of the day.
+        Seed of the day.
     """
 
     def __init__(
@@ -143,7 +147,7 @@
         labels: tuple[str, ...],
         seed: int,
     ) -> None:
-        """Draw nothing yet."""
+        """Seed the random generator."""
         self._plan = plan
         self._racks = racks
         self._labels = labels
@@ -151,7 +155,7 @@
         self._serial = 0
 
     def arrivals(self) -> list[Arrival]:
-        """Return all jobs of the day, the earliest in front."""
+        """Return all jobs of the day, earliest first."""
         found = [
             arrival
             for number in range(self._plan.services)
@@ -178,9 +182,9 @@
             at_s += self._rng.expovariate(self._plan.jobs_per_s)
             if at_s > self._plan.length_s:
                 return
-            turn = int(at_s / self._plan.peak_s) % self._plan.services
-            is_turn = turn == service
-            if is_turn or self._rng.random() < _OFF_PEAK_RATIO:
+            peaking = int(at_s / self._plan.peak_s) % self._plan.services
+            is_peak = peaking == service
+            if is_peak or self._rng.random() < _OFF_PEAK_RATIO:
                 yield self._job(at_s, service)
 
     def _job(self, at_s: float, service: int) -> Arrival:
--- a/src/wigeonreach/lab/_fleet.py
+++ b/src/wigeonreach/lab/_fleet.py
@@ -1,4 +1,4 @@
-"""Emulate VMs and the workers on them, in virtual time."""
+"""Emulated VMs and the workers on them, in virtual time."""
 
 from __future__ import annotations
 
@@ -18,30 +18,30 @@
 )
 
 _DONE_PERCENT = 100
-# A worker's clock may be slow by this, which makes its lease longer.
+# Factor by which a worker's clock may run slow, which extends its lease.
 _CLOCK_DRIFT = 1.02
-# After this an answer is given up, and the heartbeat is sent again.
+# After this, the answer is abandoned and the heartbeat is sent again.
 _HEARTBEAT_TIMEOUT_S = 1.0
-# Of a slow worker: everything takes so many times as long.
+# Slowdown of all work on a slow worker.
 _SLOW_FACTOR = 5.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FleetPlan:
-    """The VMs of a day, all of one size.
+    """Parameters of the fleet; all VMs are of one size.
 
     Attributes
     ----------
     pool_vms
-        In the pool of each service at first.
+        VMs in the pool of each service at the start.
     standby_vms
-        In the standby pool.
+        VMs in the standby pool at the start.
     rack_vms
         VMs that share a rack.
     move_s
-        How long a VM is away while it moves.
+        How long a VM is unavailable while it moves between pools.
     far_factor
-        How much longer work takes away from its data.
+        Slowdown of a task that runs on another rack than its data.
     """
 
     pool_vms: int = 6
@@ -60,16 +60,18 @@
 
     Attributes
     ----------
-    up_s
-        From when its worker runs.
-    cut_until_s
-        Until when nothing reaches it and it reaches nobody.
+    available_from_s
+        When its worker can start.
+    partitioned_until_s
+        End of its network partition.
     slow_until_s
-        Until when everything takes several times as long on it.
-    asked_s
-        When it sent the heartbeat that is not answered, if there is one.
-    next_s
-        When it sends the next one.
+        Until when all work on it is slowed down.
+    heartbeat_sent_s
+        When the heartbeat that awaits an answer was sent; None without one.
+    next_heartbeat_s
+        When the next heartbeat is due.
+    worked_s
+        Time for which each run has worked.
     """
 
     name: str
@@ -85,29 +87,30 @@
     worked_s: dict[Run, float] = dataclasses.field(default_factory=dict)
 
     def is_partitioned(self, now_s: float) -> bool:
-        """Whether nothing reaches it."""
+        """Whether the network of the VM is partitioned."""
         return now_s < self.partitioned_until_s
 
 
-# The true time of a task on a sound worker near its data, in seconds.
+# Returns the true duration of a task on a healthy worker near its data, in
+# seconds.
 TaskDuration = Callable[[TaskKey], float]
 
 
 class Fleet:
-    """All VMs of a day.
+    """All VMs of a simulated day.
 
     Parameters
     ----------
     plan
-        Which there are.
+        Parameters of the fleet.
     services
-        Whose pools they are in at first.
+        Services whose pools contain the VMs at the start.
     store
-        What the tasks ask for; it is only read.
-    lasting
-        How long each task takes.
+        Specifications of the tasks; it is only read.
+    task_duration
+        Returns how long a task takes.
     seed
-        Of the day.
+        Seed of the day.
     """
 
     def __init__(
@@ -118,7 +121,7 @@
         task_duration: TaskDuration,
         seed: int,
     ) -> None:
-        """Start a worker on each VM that does not stand by."""
+        """Start a worker on each VM outside the standby pool."""
         self.plan = plan
         self._store = store
         self._task_duration = task_duration
@@ -139,17 +142,17 @@
         return tuple(sorted({vm.rack for vm in self.vms.values()}))
 
     def vms_in_use(self) -> int:
-        """Return how many VMs cost something now."""
+        """Return the number of VMs with a worker, which are the ones that cost."""
         return sum(vm.worker is not None for vm in self.vms.values())
 
     def running_workers(self) -> Iterator[tuple[Vm, StandInWorker]]:
-        """Yield the VMs whose worker runs."""
+        """Yield the VMs with a running worker, and the worker."""
         for vm in self.vms.values():
             if vm.worker is not None:
                 yield vm, vm.worker
 
     def move(self, name: str, pool: str, now_s: float) -> None:
-        """End what runs on a VM, and give it to a pool."""
+        """Stop the worker of a VM and move the VM to a pool."""
         vm = self.vms[name]
         vm.worker = None
         vm.pool = pool
@@ -157,13 +160,13 @@
         vm.worked_s.clear()
 
     def crash(self, vm: Vm, now_s: float, downtime_s: float) -> None:
-        """End a worker without a word; another begins there later."""
+        """Crash a worker; a new one starts on the VM after the downtime."""
         vm.worker = None
         vm.available_from_s = now_s + downtime_s
         vm.worked_s.clear()
 
     def advance(self, now_s: float, step_s: float) -> None:
-        """Let workers begin, work and lapse for a short time."""
+        """Advance all workers by one step: start, work, lose leases."""
         for vm in self.vms.values():
             if (
                 vm.worker is None
@@ -177,7 +180,7 @@
     def deliver_orders(
         self, vm: Vm, orders: WorkerOrders, now_s: float
     ) -> None:
-        """Let a worker take the answer to its heartbeat."""
+        """Deliver the answer to a worker's heartbeat."""
         worker = vm.worker
         if worker is None or vm.heartbeat_sent_s is None:
             return
@@ -192,7 +195,7 @@
         )
 
     def is_far(self, order: StartOrder, vm: Vm) -> bool:
-        """Whether a run starts away from its data."""
+        """Whether a run starts on another rack than its data."""
         spec = self._store.spec_of(order.task)
         return bool(spec and spec.data_rack and spec.data_rack != vm.rack)
 
@@ -209,7 +212,7 @@
         return vm
 
     def _start_worker(self, vm: Vm, now_s: float) -> None:
-        # A worker keeps its id, and is another incarnation at each start.
+        # A worker keeps its id, but each start is a new incarnation.
         vm.worker = StandInWorker(
             f'worker-of-{vm.name}',
             vm.name,
@@ -246,14 +249,14 @@
             vm.next_heartbeat_s = min(vm.next_heartbeat_s, now_s + step_s)
 
     def _is_gang_complete(self, run: Run) -> bool:
-        """Whether a run may work: alone, or with all of its gang."""
+        """Whether a run can make progress: its whole gang must be running."""
         spec = self._store.spec_of(run[0])
         if spec is None or not spec.is_gang:
             return True
         return len(list(self._gang_members(run))) == spec.count
 
     def _gang_members(self, run: Run) -> Iterator[tuple[StandInWorker, Run]]:
-        """Yield the members of a run's gang that are there."""
+        """Yield the running members of a run's gang."""
         key, number = run
         step = (key.job_id, key.occurrence, key.step, number)
         for _, worker in self.running_workers():
@@ -286,7 +289,7 @@
             self._end_run(worker, run)
 
     def _end_run(self, worker: StandInWorker, run: Run) -> None:
-        """End a run well, or its whole gang once the slowest is done."""
+        """Complete a run, or its whole gang once the slowest member is done."""
         spec = self._store.spec_of(run[0])
         if spec is None or not spec.is_gang:
             worker.end(run, RunEnd.DONE)
--- a/src/wigeonreach/lab/_outcome.py
+++ b/src/wigeonreach/lab/_outcome.py
@@ -1,4 +1,4 @@
-"""Sum up what a day brought its callers, and at what cost."""
+"""Results of a simulated day: value for the callers, and cost."""
 
 from __future__ import annotations
 
@@ -6,26 +6,30 @@
 import dataclasses
 import statistics
 
-# A job that ends within this many times its objective is late, not useless.
+# A job that completes within this multiple of its objective is late but still
+# of some use.
 _LATE_RATIO = 3.0
-# What a late job is still worth.
+# Worth of a late job, where 1 is that of a job on time.
 _LATE_JOB_WORTH = 0.07
 
 
 @dataclasses.dataclass(slots=True)
 class Outcome:
-    """One day.
+    """Results of one day.
 
     Attributes
     ----------
     ratios
-        For each kind, the time of its jobs over their objectives; infinite if
-        they did not end.
+        For each kind, the durations of its jobs divided by their objectives;
+        infinite for a job that did not complete.
     vm_s
-        Seconds of VMs in pools.
+        VM seconds used, by VMs with a worker.
     needed_vm_s
-        What the work alone takes, on full VMs near its data: no scheduler
-        needs less.
+        VM seconds that the work itself takes on fully used VMs near its
+        data: a lower bound for any scheduler.
+    served_s, required_s
+        Task seconds for which serving tasks were serving, and should have
+        been.
     """
 
     ratios: dict[str, list[float]] = dataclasses.field(
@@ -41,18 +45,20 @@
     required_s: float = 0.0
 
     def worth_of(self, kind: str) -> float:
-        """Return the part of their full use that jobs of a kind brought."""
+        """Return the mean worth of the jobs of a kind, from 0 to 1."""
         return statistics.fmean(map(_worth, self.ratios[kind]))
 
     @property
     def worth(self) -> float:
-        """The part of their full use that all jobs brought."""
-        every = [ratio for ratios in self.ratios.values() for ratio in ratios]
-        return statistics.fmean(map(_worth, every)) if every else 1.0
+        """Mean worth of all jobs, from 0 to 1."""
+        all_ratios = [
+            ratio for ratios in self.ratios.values() for ratio in ratios
+        ]
+        return statistics.fmean(map(_worth, all_ratios)) if all_ratios else 1.0
 
     @property
     def worst(self) -> float:
-        """Worth of the worst kind that is not rare."""
+        """Lowest mean worth of a kind with at least 10 jobs."""
         common = [
             self.worth_of(kind)
             for kind, ratios in self.ratios.items()
@@ -62,12 +68,12 @@
 
     @property
     def served_ratio(self) -> float:
-        """Part of the time that serving tasks were at work."""
+        """Share of the required time for which serving tasks were serving."""
         return self.served_s / self.required_s if self.required_s else 1.0
 
     @property
     def far_ratio(self) -> float:
-        """Part of the starts that were away from their data."""
+        """Share of the starts that were on another rack than their data."""
         return self.far_starts / max(self.starts, 1)
 
 
--- a/src/wigeonreach/lab/_table.py
+++ b/src/wigeonreach/lab/_table.py
@@ -1,4 +1,4 @@
-"""Play variants on the same days, and compare them."""
+"""Comparison of scheduler variants on the same days."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     plan: DayPlan,
     seeds: Sequence[int],
 ) -> dict[str, list[Outcome]]:
-    """Return the outcome of each variant on each day."""
+    """Simulate each variant on each day and return the outcomes."""
     outcomes: dict[str, list[Outcome]] = {}
     for variant in variants:
         with applied(variant):
@@ -31,7 +31,7 @@
 
 
 def format_table(outcomes: Mapping[str, list[Outcome]]) -> str:
-    """Return one line for each variant; the first is compared with."""
+    """Return a table with a row per variant; the first is the baseline."""
     base = next(iter(outcomes.values()))
     lines = [_row(name, days, base) for name, days in outcomes.items()]
     return '\n'.join((_HEADER, *lines))
--- a/src/wigeonreach/lab/_variants.py
+++ b/src/wigeonreach/lab/_variants.py
@@ -1,4 +1,4 @@
-"""Switch mechanisms off, or change what they go by, for a comparison."""
+"""Variants of the scheduler: mechanisms disabled, or constants changed."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Override:
-    """Another value of something in a module of the scheduler.
+    """Replacement value for a name in a module of the scheduler.
 
     Attributes
     ----------
@@ -33,12 +33,12 @@
 
 
 def parse_overrides(text: str) -> tuple[Override, ...]:
-    """Read PLACE=NUMBER,PLACE=NUMBER.
+    """Parse ``PLACE=NUMBER,PLACE=NUMBER``.
 
     Raises
     ------
     ValueError
-        If it has another form.
+        If the text has another form.
     """
     return tuple(map(_parse_override, text.split(',')))
 
@@ -52,7 +52,7 @@
 
 @contextlib.contextmanager
 def applied(variant: Variant) -> Iterator[None]:
-    """Override the values while a day is played, then put them back."""
+    """Apply the overrides of a variant, and undo them on exit."""
     with contextlib.ExitStack() as undo:
         for override in variant.overrides:
             owner, name = _find(override.place)
@@ -89,11 +89,11 @@
 
 
 def _all_rooms(*asked: object) -> object:
-    """Return the rooms that ``NearRooms.near`` is given last."""
+    """Return the last argument, so that the patched method filters nothing."""
     return asked[-1]
 
 
-# One mechanism switched off in each.
+# The scheduler as it is, and one variant for each disabled mechanism.
 VARIANTS = MappingProxyType(
     {
         variant.name: variant
--- a/src/wigeonreach/lab/_virtual_leader.py
+++ b/src/wigeonreach/lab/_virtual_leader.py
@@ -1,4 +1,4 @@
-"""Lead without a network: what is proposed is committed at once."""
+"""Leader without a network: proposals are committed at once."""
 
 from __future__ import annotations
 
@@ -22,24 +22,24 @@
 
 
 def commit(store: JobStore, command: Command) -> Verdict:
-    """Replicate a command to a store."""
+    """Apply a command to a store, as if it had been replicated."""
     reply = store.apply(next(_INDEXES), encode_command(command))
     return decode_reply(reply).verdict
 
 
 class VirtualLead:
-    """The decisions of one term, on a clock that is given.
+    """Leader of one term, driven by virtual time.
 
     Parameters
     ----------
     store
         The replicated state.
     term
-        Of this leader.
+        Term of this leader.
     now_s
-        When the term begins.
+        Start of the term, in seconds.
     settings
-        What is known of the platform.
+        Settings of the scheduler.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
         self.scheduler = Scheduler(store, term, now_s, settings)
 
     def take(self, report: WorkerReport) -> Heard | None:
-        """Take one heartbeat in, and record the ends that it tells."""
+        """Process a heartbeat and record the ended runs that it reports."""
         heard = self.scheduler.hear(report, self.now_s)
         if heard is None:
             return None
@@ -72,7 +72,7 @@
         return heard
 
     def plan(self) -> tuple[RunStarted, ...]:
-        """Record what is lost, then what is to start."""
+        """Record lost and crashed runs, then the runs to start."""
         lost = self.scheduler.lost(self.now_s)
         crashed = self.scheduler.crashed(self.now_s)
         if lost or crashed:
--- a/src/wigeonreach/manager/__init__.py
+++ b/src/wigeonreach/manager/__init__.py
@@ -1,4 +1,4 @@
-"""The daemon that carries maintenance out, one in each zone."""
+"""Per-zone daemon that runs maintenance waves and places jobs."""
 
 from wigeonreach.manager._body import WaveBody, decode_body, encode_body
 from wigeonreach.manager._daemon import Manager
--- a/src/wigeonreach/manager/_body.py
+++ b/src/wigeonreach/manager/_body.py
@@ -1,4 +1,4 @@
-"""Encode what the durable state keeps of a wave."""
+"""Encoding of a wave's body in the durable state."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 
 class WaveBody(msgspec.Struct, frozen=True, array_like=True):
-    """What an operator asked for and how far it is.
+    """Scope that an operator requested for a wave, and its progress.
 
     Attributes
     ----------
     pools, zones
-        Which VMs; empty for all.
+        Pools and zones whose VMs are included; empty for all.
     state
-        Progress; missing until a manager has taken the wave up.
+        Progress; None until a manager has started the wave.
     waits_for
-        Why no further VM is taken at present, for a person.
+        Human-readable reason why no further VM is started at present.
     """
 
     pools: tuple[str, ...] = ()
@@ -29,17 +29,17 @@
 
 
 def encode_body(body: WaveBody) -> bytes:
-    """Return a body as bytes."""
+    """Serialize a body."""
     return msgspec.msgpack.encode(body)
 
 
 def decode_body(raw: bytes) -> WaveBody:
-    """Read a body.
+    """Deserialize a body.
 
     Raises
     ------
     StateError
-        If it can't be understood.
+        If the bytes are not a valid body.
     """
     try:
         return msgspec.msgpack.decode(raw, type=WaveBody)
--- a/src/wigeonreach/manager/_core.py
+++ b/src/wigeonreach/manager/_core.py
@@ -1,4 +1,4 @@
-"""Turn what platform, text and operators say into steps of waves."""
+"""Decisions on maintenance waves, without I/O."""
 
 from __future__ import annotations
 
@@ -39,7 +39,8 @@
 _COMMANDS: Mapping[str, _Command] = MappingProxyType(
     {'paused': PauseWave, 'running': ResumeWave, 'stopped': StopWave},
 )
-# What brings a VM back that a wave has ended with.
+# The action that returns a VM to service once its wave is done with it, by
+# the phase that the platform reports and the phase that the wave recorded.
 _FINAL_EFFECTS = MappingProxyType(
     {
         (VmPhase.BOOTED, Phase.MAINTAINED): EffectKind.RESTORE,
@@ -52,28 +53,28 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Plan:
-    """What to record first and then to ask of the platform."""
+    """Records to write, then effects to request from the platform."""
 
     records: tuple[RecordWave, ...]
     effects: tuple[WaveEffect, ...]
 
 
 class ManagerCore:
-    """Everything that one manager decides; no I/O.
+    """Decision logic of one manager; performs no I/O.
 
-    It is built anew from the durable state when the text changes, after a
-    restart, and when another manager was found to have written.
+    It is rebuilt from the durable state when the configuration changes,
+    after a restart, and when another manager is found to have written.
 
     Parameters
     ----------
     text
-        The text in force.
+        The fleet configuration in force.
     settings
         Limits of waves.
     """
 
     def __init__(self, text: FleetText, settings: WaveSettings) -> None:
-        """Know no VM and no wave yet."""
+        """Start with no known VM or wave."""
         watched = frozenset(
             service.pool
             for service in text.services.values()
@@ -92,7 +93,8 @@
         self._records: dict[str, WaveRecord] = {}
         self._bodies: dict[str, WaveBody] = {}
         self._effects: list[WaveEffect] = []
-        # What does not serve is looked at each time: news may get lost.
+        # VMs that are not serving are examined in every step, because the
+        # events derived from a change may be lost.
         self._not_serving: dict[str, VmView] = {}
 
     def step(
@@ -101,21 +103,21 @@
         records: Sequence[WaveRecord],
         now_s: float,
     ) -> Plan:
-        """Take in what changed and decide.
+        """Apply changes and decide what to do next.
 
         Parameters
         ----------
         vms
             VMs that changed.
         records
-            All waves, as the durable state has them.
+            All waves in the durable state.
         now_s
             Unix time, in seconds.
 
         Returns
         -------
         Plan
-            What is to be recorded, and done once that is recorded.
+            Records to write, and effects to request once they are written.
         """
         for view in vms:
             self._register_vm(view)
@@ -131,7 +133,7 @@
         return Plan(tuple(self._changed_records()), effects)
 
     def note_recorded(self, wave_id: str, version: int) -> None:
-        """Note that the durable state took a record."""
+        """Set the new version of a record that the durable state accepted."""
         record = self._records[wave_id]
         self._records[wave_id] = _with_version(record, version)
 
@@ -190,8 +192,8 @@
         kind = _COMMANDS.get(record.phase)
         if kind is None:
             return
-        is_resting = wave is not None and wave.status in _PAUSED_STATUSES
-        if kind is ResumeWave and not is_resting:
+        is_paused = wave is not None and wave.status in _PAUSED_STATUSES
+        if kind is ResumeWave and not is_paused:
             return
         command_id = f'{record.phase}@{record.version}'
         command = kind(command_id, record.wave_id)
@@ -202,9 +204,10 @@
         if vm is None:
             return
         if self._planner.is_busy(view.name):
-            # Of the platform's accord, or of the attempt that is running.
-            is_news = view.phase is VmPhase.DOWN or self._is_current(view)
-            messages = maintenance_reports(view) if is_news else ()
+            # Only a failure of the VM or the result of the current attempt
+            # matters; results of earlier attempts are ignored.
+            is_relevant = view.phase is VmPhase.DOWN or self._is_current(view)
+            messages = maintenance_reports(view) if is_relevant else ()
         else:
             messages = unexpected_changes(vm, view)
             self._effects.extend(self._resend_final_action(view))
@@ -212,7 +215,7 @@
             self._effects.extend(self._planner.handle(message, now_s))
 
     def _resend_final_action(self, view: VmView) -> Iterable[WaveEffect]:
-        """Send a last action again that the platform seems to have lost."""
+        """Resend a final action that the platform seems to have lost."""
         operation_id, _, _ = view.action_id.rpartition('/')
         track = self._track(operation_id)
         if track is None:
@@ -279,7 +282,7 @@
         return False
     if body.state is None:
         return True
-    # A stop lets reboots finish, so these are still followed.
+    # Reboots in progress finish after a stop, so the wave is still tracked.
     return all(track.phase.is_final for track in body.state.tracks)
 
 
--- a/src/wigeonreach/manager/_daemon.py
+++ b/src/wigeonreach/manager/_daemon.py
@@ -1,4 +1,4 @@
-"""Carry out waves against the platform while holding the lease."""
+"""Manager daemon: runs maintenance waves while it holds the lease."""
 
 from __future__ import annotations
 
@@ -29,18 +29,18 @@
 
 
 class Manager(mode.Service):
-    """One zone's manager; of all of them, the lease's holder decides.
+    """Manager of one zone; the one that holds the lease runs the waves.
 
     Parameters
     ----------
     settings
-        Who this manager is.
+        Identity, peers and intervals of this manager.
     logger
-        Where events are logged.
+        Logger for events.
     """
 
     def __init__(self, settings: ManagerSettings, logger: Logger) -> None:
-        """Build the parts; nothing is asked before ``start``."""
+        """Create the components; no request is sent before ``start``."""
         super().__init__()
         self._settings = settings
         self._log = logger
@@ -71,7 +71,7 @@
         self._runner: web.AppRunner | None = None
 
     async def on_start(self) -> None:
-        """Follow the text and listen for HTTP."""
+        """Subscribe to the configuration and listen for HTTP requests."""
         await self.add_runtime_dependency(self._config)
         await self._platform.open()
         await self.add_runtime_dependency(self._placer)
@@ -86,7 +86,7 @@
         await web.TCPSite(self._runner, address.host, address.port).start()
 
     async def drain(self) -> None:
-        """Give the lease up, so that another manager goes on at once."""
+        """Release the lease, so that another manager can take over at once."""
         try:
             await self._lease.release()
         except StateError:
@@ -104,17 +104,17 @@
             try:
                 await self._run_round()
             except (PlatformError, StateError, WireError) as error:
-                # Nothing is lost: what was decided is recorded first.
+                # No decision is lost: each is recorded before it takes effect.
                 self._handle_failure(error.code)
             await self.sleep(self._settings.poll_s)
 
     async def _run_round(self) -> None:
         text = self._config.text
-        had_token = self._lease.token
+        previous_token = self._lease.token
         if text is None or not await self._lease.ensure():
             self._core = None
             return
-        if self._lease.token != had_token:
+        if self._lease.token != previous_token:
             self._log.info(LogEvent.LEASE_HELD, token=self._lease.token)
             self._core = None
         if self._core is None or self._version != self._config.version:
@@ -171,7 +171,8 @@
         try:
             await self._platform.act(action)
         except PlatformError as error:
-            # Its effect is read back, and it is sent again under the same id.
+            # The outcome is read from the VM list; the action is resent with
+            # the same id if it had no effect.
             self._log.warning(
                 LogEvent.PLATFORM_FAULT,
                 vm=effect.vm,
@@ -198,7 +199,8 @@
         return web.Response(text=self._metrics.page())
 
 
-# A list that could not be read changes nothing that was decided.
+# After these errors, which only mean that the VMs could not be listed, the
+# decisions in memory are still valid.
 _TRANSIENT_FAULTS = frozenset(
     (ResultCode.PLATFORM_UNREACHABLE, ResultCode.PLATFORM_ANSWER_WRONG),
 )
--- a/src/wigeonreach/manager/_job_actions.py
+++ b/src/wigeonreach/manager/_job_actions.py
@@ -1,4 +1,4 @@
-"""Do on the platform what placement decided, each action once."""
+"""Request task actions from the platform, each with effect at most once."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 from wigeonreach.state import StateAccess
 from wigeonreach.wire._command_messages import AcquireLease
 
-# A claim is for ever: nobody may start the job again.
+# Ten years: a claim must never expire, or the job could be started again.
 _CLAIM_DURATION_S = 10 * 365 * 86_400.0
 _FIRST_TOKEN = 1
 
 
 class _Claim(enum.Enum):
-    """What became of the claim to start a non-idempotent job."""
+    """Result of claiming the start of a non-idempotent job."""
 
     GRANTED = 1
     REFUSED = 2
@@ -39,16 +39,16 @@
 
 
 class JobActions:
-    """Actions that are due, sent until the platform confirms them.
+    """Pending actions, resent until the platform confirms them.
 
     Parameters
     ----------
     holder
         Name of the manager.
     platform, state
-        Who is asked.
+        Services to which actions and claims are sent.
     metrics, logger
-        Where refusals are counted and logged.
+        For actions sent and jobs not run.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
         metrics: Metrics,
         logger: Logger,
     ) -> None:
-        """Start with nothing due."""
+        """Start with no pending action."""
         self._holder = holder
         self._platform = platform
         self._state = state
@@ -68,24 +68,24 @@
         self._pending: dict[str, TaskAction] = {}
 
     def add(self, effects: Iterable[Effect]) -> None:
-        """Note what placement decided."""
+        """Queue the actions of placement effects."""
         for effect in effects:
             self._report(effect)
             for action in _actions(effect):
                 self._pending[action.action_id] = action
 
     async def send(self, once: frozenset[str]) -> list[TaskChanged]:
-        """Send what is due.
+        """Send all pending actions.
 
         Parameters
         ----------
         once
-            Ids of non-idempotent jobs.
+            Ids of non-idempotent jobs, which must be started at most once.
 
         Returns
         -------
         list of TaskChanged
-            Ends of jobs that must not be started.
+            Failures of jobs whose start was claimed before.
         """
         by_worker: dict[str, list[TaskAction]] = {}
         for action in self._pending.values():
@@ -96,7 +96,7 @@
                 for actions in by_worker.values()
             ),
         )
-        return [end for some in ends for end in some]
+        return [end for worker_ends in ends for end in worker_ends]
 
     async def _send_to_worker(
         self,
@@ -104,7 +104,8 @@
         once: frozenset[str],
     ) -> list[TaskChanged]:
         ends: list[TaskChanged] = []
-        # Room is made before it is used: the order within a worker counts.
+        # Actions of one worker keep their order, because a stop frees the
+        # resources that a later start needs.
         for action in actions:
             claim = await self._claim_for(action, once)
             if claim is _Claim.REFUSED:
@@ -124,7 +125,7 @@
         return _Claim.GRANTED
 
     async def _claim(self, action: TaskAction) -> _Claim:
-        """Claim a job durably, so that nobody starts it again."""
+        """Record a durable claim, so that the job is never started twice."""
         claim = AcquireLease(
             f'job/{action.job_id}',
             self._holder,
@@ -166,7 +167,7 @@
 
 @functools.singledispatch
 def _actions(effect: Effect) -> Iterator[TaskAction]:
-    """Yield what the platform is to be asked for."""
+    """Yield the platform actions that an effect requires."""
     yield from iter(())
 
 
--- a/src/wigeonreach/manager/_job_placer.py
+++ b/src/wigeonreach/manager/_job_placer.py
@@ -1,4 +1,4 @@
-"""Serve teams' jobs over HTTP and keep a zone's placement going."""
+"""HTTP interface for jobs, and the placement loop of a zone."""
 
 from __future__ import annotations
 
@@ -27,16 +27,16 @@
 
 
 class JobPlacer(mode.Service):
-    """Own a zone's placement; HTTP handlers only send it messages.
+    """Owner of a zone's placement; HTTP handlers only enqueue messages.
 
     Parameters
     ----------
     settings, config
-        Who the manager is, and the text in force.
+        Settings of the manager, and source of the fleet configuration.
     state, platform
-        Who is asked.
+        Durable state and platform client.
     metrics, logger
-        Where refusals are counted and logged.
+        For refused jobs, failed rounds and actions.
     """
 
     def __init__(
@@ -48,7 +48,7 @@
         metrics: Metrics,
         logger: Logger,
     ) -> None:
-        """Place nothing before the zone's lease is held."""
+        """Prepare; jobs are placed only while the zone's lease is held."""
         super().__init__()
         self._settings = settings
         self._config = config
@@ -74,14 +74,15 @@
         self._version = 0
 
     def add_routes(self, application: web.Application) -> None:
-        """Offer what teams may ask."""
+        """Register the HTTP routes for jobs."""
         application.router.add_post('/v1/jobs', self._on_submit)
         application.router.add_post('/v1/jobs/cancel', self._on_cancel)
         application.router.add_get('/v1/jobs/{job_id}', self._on_status)
 
     @mode.Service.task
     async def _hold_lease(self) -> None:
-        # Apart from placing, which goes on while no replica can be reached.
+        # A task of its own, so that placement continues while no replica is
+        # reachable.
         while not self.should_stop:
             await self._lease.ensure()
             await self.sleep(self._settings.poll_s)
@@ -109,7 +110,7 @@
             )
 
     async def _process_messages(self, jobs: ZoneJobs) -> None:
-        """Wait for messages, but no longer than until the next round."""
+        """Process queued messages until the next round is due."""
         ends_s = time.monotonic() + self._settings.poll_s
         while time.monotonic() < ends_s:
             try:
--- a/src/wigeonreach/manager/_job_schema.py
+++ b/src/wigeonreach/manager/_job_schema.py
@@ -1,4 +1,4 @@
-"""Validate what teams ask of a manager over HTTP."""
+"""Schemas of the HTTP interface for jobs."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     is_idempotent: bool = True
 
     def job(self) -> Job:
-        """Return it as plain data."""
+        """Convert to the job model of placement."""
         return Job(
             job_id=self.job_id,
             team=self.team,
@@ -61,7 +61,7 @@
 
 
 class JobStatus(msgspec.Struct, frozen=True):
-    """Body of the answer to ``GET /v1/jobs/ID``."""
+    """Response body of ``GET /v1/jobs/ID``."""
 
     job_id: str
     state: str
--- a/src/wigeonreach/manager/_jobs.py
+++ b/src/wigeonreach/manager/_jobs.py
@@ -1,4 +1,4 @@
-"""Place the jobs of one zone and follow their tasks."""
+"""Placement of one zone's jobs and tracking of their tasks."""
 
 from __future__ import annotations
 
@@ -30,9 +30,10 @@
 from wigeonreach.provider import Platform, TaskView, VmPhase, VmView
 from wigeonreach.text import FleetText
 
-# Tokens of one holder; far more than it can use up.
+# Size of the range of task tokens reserved for each lease token; one holder
+# cannot exhaust it.
 _TOKENS_PER_HOLDER = 2**32
-# A worker that does not answer for so long is treated as lost.
+# A worker that has not answered for this long is treated as lost.
 _WORKER_TIMEOUT_S = 10.0
 _TASK_ENDS = MappingProxyType(
     {
@@ -46,18 +47,18 @@
 
 
 class ZoneJobs:
-    """The jobs of one zone, for one holder of the right to place them.
+    """Jobs of one zone, placed under one lease token.
 
     Parameters
     ----------
     zone
         Only workers of this zone are used.
     token
-        Of the lease under which this manager places.
+        Token of the lease under which this manager places jobs.
     text
-        The text in force: pools and quotas.
+        Fleet configuration in force: pools and quotas.
     platform, actions
-        Who is asked and what is due there.
+        Platform client, and the actions pending there.
     """
 
     def __init__(
@@ -68,7 +69,7 @@
         platform: Platform,
         actions: JobActions,
     ) -> None:
-        """Know no worker yet."""
+        """Start with no known worker."""
         self._zone = zone
         self._placement = Placement(
             {},
@@ -87,12 +88,12 @@
     def is_ready(self) -> bool:
         """Whether the tasks that already run are known.
 
-        A job that is submitted again before that would be taken for new.
+        Before that, a resubmitted job would be mistaken for a new one.
         """
         return self._is_ready
 
     def apply_text(self, text: FleetText, now_s: float) -> None:
-        """Act on a text from the next round on."""
+        """Apply a new configuration, with effect from the next round."""
         before = self._pool_of
         self._pool_of = {
             vm: pool.name for pool in text.pools.values() for vm in pool.vms
@@ -102,11 +103,11 @@
         self._placement.change_quotas(
             {team.name: team.quota_processors for team in text.teams.values()},
         )
-        # Workers may have changed their pool, so all are looked at.
+        # Workers may have changed their pool, so all are listed again.
         self._revision = 0
 
     def status(self, job_id: str) -> JobStatus | None:
-        """Return where a job is and why, if it is known."""
+        """Return the state, worker and reason of a job, or None if unknown."""
         record = self._placement.job(job_id)
         if record is None:
             return None
@@ -118,17 +119,17 @@
         )
 
     def submit(self, job: Job, now_s: float) -> None:
-        """Take a job; one that is known changes nothing."""
+        """Accept a job; resubmitting a known job has no effect."""
         if not job.is_idempotent:
             self._non_idempotent.add(job.job_id)
         self.handle(JobSubmitted(job), now_s)
 
     def handle(self, event: Event, now_s: float) -> None:
-        """Take one event and note what is to be done."""
+        """Apply an event and queue the actions that result."""
         self._actions.add(self._placement.handle(event, now_s))
 
     async def run_round(self, now_s: float) -> None:
-        """Look at the platform and do what is due.
+        """Poll the platform, update the placement and send pending actions.
 
         Raises
         ------
@@ -148,7 +149,7 @@
         await self.send(now_s)
 
     async def send(self, now_s: float) -> None:
-        """Do what is due."""
+        """Send pending actions and apply the failures they report."""
         for end in await self._actions.send(frozenset(self._non_idempotent)):
             self.handle(end, now_s)
 
@@ -164,7 +165,7 @@
             self.handle(WorkerLost(view.name), now_s)
 
     async def _running_tasks(self, view: VmView) -> tuple[FoundTask, ...]:
-        """Return the tasks that an earlier manager has left running."""
+        """Return the tasks that an earlier manager left running."""
         return tuple(
             FoundTask(self._unknown_job(task), task.lease_token)
             for task in await self._platform.list_tasks(view.name)
@@ -172,7 +173,7 @@
         )
 
     def _unknown_job(self, task: TaskView) -> Job:
-        # What it is is not known, so it is never started a second time.
+        # Whether the job is idempotent is unknown, so it must not be restarted.
         return Job(
             job_id=task.job_id,
             team='',
@@ -196,7 +197,7 @@
         )
 
     def _busy_workers(self) -> list[str]:
-        """Return the workers that have jobs."""
+        """Return the workers that have jobs assigned."""
         return [
             name
             for name in self._last_answer_s
--- a/src/wigeonreach/manager/_lease.py
+++ b/src/wigeonreach/manager/_lease.py
@@ -1,4 +1,4 @@
-"""Hold the right to decide on maintenance, for as long as it is certain."""
+"""Lease that elects the manager which makes decisions."""
 
 from __future__ import annotations
 
@@ -15,26 +15,27 @@
 )
 
 LEASE_NAME = 'maintenance'
-# Clocks may run apart by this part of the lease.
+# The holder stops relying on the lease after this share of its duration; the
+# rest tolerates clocks that run at different rates.
 _SAFE_RATIO = 0.75
 _RENEW_RATIO = 0.3
 
 
 class DecisionLease:
-    """One manager's hold on the lease.
+    """Lease as seen by one manager.
 
     Parameters
     ----------
     holder
         Name of the manager.
     duration_s
-        For how long each grant lasts.
+        Duration of each grant, in seconds.
     state
-        Where leases are granted.
+        Durable state that grants leases.
     lease_name
-        What the right is called.
+        Name of the lease.
     now_s
-        Monotonic time, in seconds.
+        Returns the monotonic time, in seconds.
     """
 
     def __init__(
@@ -45,7 +46,7 @@
         lease_name: str = LEASE_NAME,
         now_s: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Hold nothing yet."""
+        """Start without the lease."""
         self._holder = holder
         self._duration_s = duration_s
         self._state = state
@@ -56,28 +57,26 @@
 
     @property
     def is_held(self) -> bool:
-        """Whether nobody else can hold it at this moment."""
+        """Whether no other manager can hold the lease at this moment."""
         age_s = self._now_s() - self._requested_s
         return self.token > 0 and age_s < self._duration_s * _SAFE_RATIO
 
     async def ensure(self) -> bool:
-        """Acquire or renew the lease where that is due.
+        """Acquire the lease, or renew it if a renewal is due.
+
+        If no replica answers, a lease that is held stays held until it
+        expires.
 
         Returns
         -------
         bool
-            Whether it is held.
-
-        Raises
-        ------
-        StateError
-            If no replica told; what is held then still is until its end.
+            Whether the lease is held.
         """
         age_s = self._now_s() - self._requested_s
         if self.token and age_s < self._duration_s * _RENEW_RATIO:
             return True
-        # Counted from before the question: the answer may be late.
-        asked_s = self._now_s()
+        # The lease counts from before the request, as the reply may be late.
+        requested_s = self._now_s()
         action = (
             RenewLease(self._name, self._holder, self.token, self._duration_s)
             if self.is_held
@@ -91,11 +90,11 @@
             self.token = 0
             return False
         self.token = reply.token
-        self._requested_s = asked_s
+        self._requested_s = requested_s
         return True
 
     async def release(self) -> None:
-        """Let another manager go on at once."""
+        """Release the lease, so that another manager can acquire it at once."""
         if self.is_held:
             action = ReleaseLease(self._name, self._holder, self.token)
             self.token = 0
--- a/src/wigeonreach/manager/_settings.py
+++ b/src/wigeonreach/manager/_settings.py
@@ -10,15 +10,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ManagerSettings:
-    """Who a manager is, whom it asks and how fast it acts.
+    """Identity, peers and intervals of a manager.
 
     Attributes
     ----------
     lease_s
-        How long the right to decide lasts without being renewed; after a
-        manager's sudden end another one goes on within about this time.
+        How long the lease lasts without a renewal; after a manager crashes,
+        another one takes over within about this time.
     poll_s
-        How often platform and waves are looked at.
+        Interval at which the platform and the waves are polled.
     """
 
     name: str
--- a/src/wigeonreach/manager/_vm_events.py
+++ b/src/wigeonreach/manager/_vm_events.py
@@ -1,4 +1,4 @@
-"""Read from a VM's view what has happened to it."""
+"""Derive events of a VM from its state as the platform reports it."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def maintenance_reports(view: VmView) -> Iterable[Report]:
-    """Tell of a VM that a wave has drained."""
+    """Yield the events of a VM that is under maintenance."""
     operation_id, _, kind = view.action_id.rpartition('/')
     if view.phase is VmPhase.DOWN:
         yield VmReport(view.name, VmEvent.LOST)
@@ -25,7 +25,7 @@
 
 
 def unexpected_changes(vm: Vm, view: VmView) -> Iterable[Report]:
-    """Tell of a VM that changed without an action of ours."""
+    """Yield the events of a VM that went down or recovered by itself."""
     is_serving = view.phase is VmPhase.SERVING
     if vm.is_up and not is_serving:
         yield VmReport(view.name, VmEvent.LOST)
--- a/src/wigeonreach/provider/__init__.py
+++ b/src/wigeonreach/provider/__init__.py
@@ -1,4 +1,4 @@
-"""Talk to the platform that owns VMs, workers and their tasks."""
+"""Client of the platform that owns VMs, workers and their tasks."""
 
 from wigeonreach.provider._client import PlatformClient
 from wigeonreach.provider._interface import Platform
--- a/src/wigeonreach/provider/_client.py
+++ b/src/wigeonreach/provider/_client.py
@@ -1,4 +1,4 @@
-"""Ask the platform over HTTP and trust no answer unchecked."""
+"""HTTP client of the platform; every response is validated."""
 
 from __future__ import annotations
 
@@ -35,16 +35,16 @@
 
 
 class PlatformClient:
-    """The platform behind a base URL.
+    """Client of the platform at a base URL.
 
     Parameters
     ----------
     url
-        Where it answers, such as ``http://127.0.0.1:9000``.
+        Base URL, such as ``http://127.0.0.1:9000``.
     metrics
-        Where refusals and faults are counted.
+        Counts refusals and errors.
     timeout_s
-        After this time an answer is late and not waited for.
+        Timeout of each request, in seconds.
     """
 
     def __init__(
@@ -53,14 +53,14 @@
         metrics: Metrics,
         timeout_s: float = _TIMEOUT_S,
     ) -> None:
-        """Connect to nothing yet."""
+        """Prepare; the session is created by ``open``."""
         self._url = url.rstrip('/')
         self._metrics = metrics
         self._timeout = aiohttp.ClientTimeout(total=timeout_s)
         self._session: aiohttp.ClientSession | None = None
 
     async def open(self) -> None:
-        """Be ready to ask; call inside a running loop."""
+        """Create the session; requires a running event loop."""
         self._session = aiohttp.ClientSession(timeout=self._timeout)
 
     async def close(self) -> None:
@@ -75,7 +75,7 @@
         return answer.page()
 
     async def list_tasks(self, worker: str) -> tuple[TaskView, ...]:
-        """Return the tasks of a worker with their lagging usage."""
+        """Return the tasks of a worker; their usage lags behind."""
         path = f'/v1/workers/{worker}/tasks'
         answer = await self._request('GET', path, TasksSchema)
         if any(task.worker != worker for task in answer.tasks):
@@ -86,12 +86,12 @@
         return tuple(task.view() for task in answer.tasks)
 
     async def act(self, action: Action) -> None:
-        """Ask for an action; its effect shows in the lists.
+        """Request an action; its effect shows in later lists.
 
         Raises
         ------
         PlatformError
-            If the platform refused, or what it did is not known.
+            If the platform refused, or the outcome is unknown.
         """
         body = msgspec.json.encode(action)
         answer = await self._request('POST', _path(action), ActionSchema, body)
@@ -125,7 +125,7 @@
                 f'{path}: {error.error_count()} faults',
             ) from error
         if answer.request_id != request_id:
-            # A late answer to an earlier request, or one to somebody else.
+            # A late response to an earlier request, or another client's.
             raise self._counted_error(
                 ResultCode.PLATFORM_ANSWER_WRONG,
                 f'{path}: the answer belongs to another request',
--- a/src/wigeonreach/provider/_interface.py
+++ b/src/wigeonreach/provider/_interface.py
@@ -1,4 +1,4 @@
-"""The narrow interface through which everything asks the platform."""
+"""Interface of the platform that the manager depends on."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 
 class Platform(Protocol):
-    """What the system needs of a platform.
+    """Operations that a platform must provide.
 
-    Each call may raise ``PlatformError``: the action may then have been done
-    or not, and is sent again under the same id.
+    Each call may raise ``PlatformError``. An action may then have taken
+    effect or not, and is resent with the same id.
     """
 
     async def list_vms(self, after_revision: int) -> VmPage:
         """Return the VMs that changed after a revision; 0 for all."""
 
     async def list_tasks(self, worker: str) -> tuple[TaskView, ...]:
-        """Return the tasks of a worker with their lagging usage."""
+        """Return the tasks of a worker; their usage lags behind."""
 
     async def act(self, action: Action) -> None:
-        """Ask for an action; its effect shows in the lists."""
+        """Request an action; its effect shows in later lists."""
--- a/src/wigeonreach/provider/_model.py
+++ b/src/wigeonreach/provider/_model.py
@@ -1,4 +1,4 @@
-"""What the platform tells and what it can be asked to do."""
+"""State that the platform reports, and actions that it accepts."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class VmPhase(enum.StrEnum):
-    """What a VM does, as the platform sees it."""
+    """Lifecycle phase of a VM, as the platform reports it."""
 
     SERVING = 'serving'
     DRAINING = 'draining'
@@ -18,7 +18,7 @@
 
 
 class ActionKind(enum.StrEnum):
-    """What can be done to a VM or to a task."""
+    """Kind of action on a VM or a task."""
 
     DRAIN = 'drain'
     UNDRAIN = 'undrain'
@@ -33,15 +33,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class VmView:
-    """One VM and its worker as last told.
+    """One VM and its worker, as last reported.
 
     Attributes
     ----------
     action_id
-        Of the last action that was begun on it; by this an action whose
-        answer was lost is found to have had its effect.
+        Id of the last action begun on the VM; it shows whether an action
+        whose response was lost took effect.
     is_healthy
-        Result of the last check, or nothing if none has ended since.
+        Result of the last health check; None until one has completed.
     """
 
     name: str
@@ -68,7 +68,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TaskView:
-    """One task and its usage, which was measured some time ago."""
+    """One task and its usage, measured at ``measured_at_s``."""
 
     job_id: str
     worker: str
@@ -81,14 +81,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class VmAction:
-    """Ask something of a VM.
+    """Request an action on a VM.
 
     Attributes
     ----------
     action_id
-        The same in each resend; the platform does it once.
+        The same in each resend; the platform executes the action once.
     fencing_token
-        The platform refuses it if it has seen a higher one for this VM.
+        The platform refuses the action if it has seen a higher token for
+        this VM.
     """
 
     kind: ActionKind
@@ -99,10 +100,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TaskAction:
-    """Ask something of the task of a job on a worker under a lease.
+    """Request an action on a job's task on a worker, under a lease.
 
-    The lease token is the fencing token: the platform refuses what carries a
-    lower one than it has seen for this job.
+    The lease token is the fencing token: the platform refuses an action with
+    a lower token than it has seen for this job.
     """
 
     kind: ActionKind
--- a/src/wigeonreach/provider/_schema.py
+++ b/src/wigeonreach/provider/_schema.py
@@ -1,4 +1,4 @@
-"""Validate what the platform answers."""
+"""Schemas of the platform's responses."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 
 class _Response(pydantic.BaseModel):
-    """An answer names the request that it belongs to."""
+    """Base of the responses; unknown fields are ignored."""
 
     model_config = pydantic.ConfigDict(extra='ignore', frozen=True)
 
 
 class VmSchema(_Response):
-    """One VM."""
+    """One VM in a response."""
 
     name: _Name
     zone: _Name
@@ -36,24 +36,24 @@
     is_healthy: bool | None = None
 
     def view(self) -> VmView:
-        """Return it as plain data."""
+        """Convert to a plain ``VmView``."""
         return VmView(**self.model_dump())
 
 
 class VmPageSchema(_Response):
-    """The answer to ``GET /v1/vms``."""
+    """Response to ``GET /v1/vms``."""
 
     request_id: str
     revision: _Count
     vms: tuple[VmSchema, ...]
 
     def page(self) -> VmPage:
-        """Return it as plain data."""
+        """Convert to a plain ``VmPage``."""
         return VmPage(self.revision, tuple(vm.view() for vm in self.vms))
 
 
 class TaskSchema(_Response):
-    """One task."""
+    """One task in a response."""
 
     job_id: _Name
     worker: _Name
@@ -64,19 +64,19 @@
     measured_at_s: _Amount = 0
 
     def view(self) -> TaskView:
-        """Return it as plain data."""
+        """Convert to a plain ``TaskView``."""
         return TaskView(**self.model_dump())
 
 
 class TasksSchema(_Response):
-    """The answer to ``GET /v1/workers/NAME/tasks``."""
+    """Response to ``GET /v1/workers/NAME/tasks``."""
 
     request_id: str
     tasks: tuple[TaskSchema, ...]
 
 
 class ActionSchema(_Response):
-    """The answer to an action."""
+    """Response to an action."""
 
     request_id: str
     action_id: str
