--- a/src/wigeonreach/lab/__main__.py
+++ b/src/wigeonreach/lab/__main__.py
@@ -25,14 +25,16 @@
     override: Annotated[
         list[str],
         typer.Option(
-            help='MODULE:NAME=NUMBER, several of a variant with commas.'
+            help='MODULE:NAME=NUMBER; several for a variant, with commas.'
         ),
     ] = [],  # noqa: B006, WPS404
-    days: Annotated[int, typer.Option(help='Days of each variant.')] = 5,
-    first_seed: Annotated[int, typer.Option(help='Of the first day.')] = 1,
-    faults: Annotated[float, typer.Option(help='Faults a second.')] = 0.0,
-    terms: Annotated[int, typer.Option(help='Changes of leader.')] = 0,
-    load: Annotated[float, typer.Option(help='Of the usual load.')] = 1.0,
+    days: Annotated[int, typer.Option(help='Days per variant.')] = 5,
+    first_seed: Annotated[int, typer.Option(help='Seed of the first day.')] = 1,
+    faults: Annotated[float, typer.Option(help='Faults per second.')] = 0.0,
+    terms: Annotated[int, typer.Option(help='Number of leader changes.')] = 0,
+    load: Annotated[
+        float, typer.Option(help='Multiple of the usual load.')
+    ] = 1.0,
     kinds: Annotated[
         float, typer.Option(help='Share of each special kind of job.')
     ] = 0.0,
--- a/src/wigeonreach/lab/_checks.py
+++ b/src/wigeonreach/lab/_checks.py
@@ -22,7 +22,7 @@
     Raises
     ------
     BrokenRuleError
-        If the job has ended, an earlier step is not done, the run is not
+        If the job has ended, its step may not start yet, the run is not
         recorded or the task has failed too often.
     """
     wrong = _start_violation(order, store)
@@ -38,12 +38,12 @@
     if job is None or task is None or not job.is_active:
         return 'started after its job ended'
     if not job.may_start(key.occurrence, key.step):
-        return 'started before its turn'
+        return 'started before its step may start'
     if order.run != task.run:
         return f'run {order.run} is not recorded'
     has_failed = task.failures >= job.queue.max_failures
     if has_failed and not job.step_spec(key).is_service:
-        return 'started too often'
+        return 'started after its last allowed failure'
     return ''
 
 
@@ -62,11 +62,11 @@
         _check_capacity(worker, store)
     for key, count in runs.items():
         if count > 1 and not store.may_run_twice(key):
-            raise BrokenRuleError(f'{key}: {count} runs at once')
+            raise BrokenRuleError(f'{key}: {count} concurrent runs')
 
 
 def _check_capacity(worker: StandInWorker, store: JobStore) -> None:
     specs = [store.spec_of(key) for key, _ in worker.running]
     needs = [spec.room for spec in specs if spec is not None]
     if not room_of(worker.last_report).holds(sum(needs, start=NO_ROOM)):
-        raise BrokenRuleError(f'{worker.vm}: over its capacity')
+        raise BrokenRuleError(f'{worker.vm}: runs exceed its capacity')
--- a/src/wigeonreach/lab/_day.py
+++ b/src/wigeonreach/lab/_day.py
@@ -147,22 +147,22 @@
             self._inject_fault(
                 self._fault_rng.choice(list(self.fleet.vms.values()))
             )
-        terms = self._plan.leader_changes
-        if terms and self._leader.term <= terms:
+        changes = self._plan.leader_changes
+        if changes and self._leader.term <= changes:
             length_s = self._plan.demand.length_s
-            due_s = _WARM_UP_S + length_s / (terms + 1) * self._leader.term
+            due_s = _WARM_UP_S + length_s / (changes + 1) * self._leader.term
             if self._now_s >= due_s:
                 self._leader = self._new_leader(self._leader.term + 1)
 
     def _inject_fault(self, vm: Vm) -> None:
         kind = self._fault_rng.randrange(3)
-        lasts_s = self._fault_rng.uniform(2, 7)
+        duration_s = self._fault_rng.uniform(2, 7)
         if kind == 0:
-            self.fleet.crash(vm, self._now_s, lasts_s)
+            self.fleet.crash(vm, self._now_s, duration_s)
         elif kind == 1:
-            vm.partitioned_until_s = self._now_s + lasts_s
+            vm.partitioned_until_s = self._now_s + duration_s
         else:
-            vm.slow_until_s = self._now_s + lasts_s
+            vm.slow_until_s = self._now_s + duration_s
 
     def _new_leader(self, term: int = 1) -> VirtualLead:
         fleet = self._plan.fleet
@@ -205,9 +205,9 @@
     def _move_vms(self) -> None:
         scheduler = self._leader.scheduler
         for move in scheduler.moves(self._now_s):
-            left = self.fleet.vms[move.vm].worker
-            if left is not None:
-                scheduler.workers.note_ordered(left.incarnation, self._now_s)
+            worker = self.fleet.vms[move.vm].worker
+            if worker is not None:
+                scheduler.workers.note_ordered(worker.incarnation, self._now_s)
             self.fleet.move(move.vm, move.to_pool, self._now_s)
             scheduler.pools.note_moved(move, self._now_s)
             self.outcome.moves += 1
@@ -256,11 +256,11 @@
 
     def _add_needed_time(self, arrival: Arrival) -> None:
         millicores = self._plan.fleet.millicores
-        for step, lasts_s in zip(
+        for step, duration_s in zip(
             arrival.spec.steps, arrival.durations_s, strict=True
         ):
-            part = step.cpu_millicores / millicores
-            self.outcome.needed_vm_s += part * step.count * lasts_s
+            share = step.cpu_millicores / millicores
+            self.outcome.needed_vm_s += share * step.count * duration_s
 
     def _record_unfinished(self) -> None:
         for arrival in self._not_completed.values():
@@ -269,12 +269,12 @@
 
     def _task_duration_s(self, key: TaskKey) -> float:
         """Return the duration of a task, equal in each of its runs."""
-        lasts_s = self._durations_s.get(key)
-        if lasts_s is None:
-            drawn = random.Random(f'{self._seed}{key}')
-            uneven = drawn.uniform(1 - _DURATION_SPREAD, 1 + _DURATION_SPREAD)
-            lasts_s = (
-                self._all_arrivals[key.job_id].durations_s[key.step] * uneven
+        duration_s = self._durations_s.get(key)
+        if duration_s is None:
+            rng = random.Random(f'{self._seed}{key}')
+            factor = rng.uniform(1 - _DURATION_SPREAD, 1 + _DURATION_SPREAD)
+            duration_s = (
+                self._all_arrivals[key.job_id].durations_s[key.step] * factor
             )
-            self._durations_s[key] = lasts_s
-        return lasts_s
+            self._durations_s[key] = duration_s
+        return duration_s
--- a/src/wigeonreach/lab/_demand.py
+++ b/src/wigeonreach/lab/_demand.py
@@ -193,11 +193,11 @@
             self._step(number, kinds)
             for number in range(self._rng.choice((1, 1, 1, 2, 2, 3)))
         ]
-        lasts_s = tuple(
+        durations_s = tuple(
             step.estimate_ms / _MS * self._duration_factor() for step in steps
         )
         name = '+'.join(sorted(kinds)) or 'plain'
-        return self._arrival(at_s, service, tuple(steps), name, lasts_s)
+        return self._arrival(at_s, service, tuple(steps), name, durations_s)
 
     def _draw_kinds(self) -> set[str]:
         shares = dataclasses.asdict(self._plan.kinds)
@@ -232,7 +232,7 @@
         service: int,
         steps: tuple[StepSpec, ...],
         kind: str,
-        lasts_s: tuple[float, ...],
+        durations_s: tuple[float, ...],
     ) -> Arrival:
         self._serial += 1
         job_id = f'{self._serial:016x}'
@@ -246,4 +246,4 @@
                 interval_ms=2000,
                 occurrences=4,
             )
-        return Arrival(at_s, service_name(service), spec, kind, lasts_s)
+        return Arrival(at_s, service_name(service), spec, kind, durations_s)
--- a/src/wigeonreach/lab/_fleet.py
+++ b/src/wigeonreach/lab/_fleet.py
@@ -174,8 +174,8 @@
                 and now_s >= vm.available_from_s
             ):
                 self._start_worker(vm, now_s)
-        for up, worker in self.running_workers():
-            self._advance_worker(up, worker, now_s, step_s)
+        for vm, worker in self.running_workers():
+            self._advance_worker(vm, worker, now_s, step_s)
 
     def deliver_orders(
         self, vm: Vm, orders: WorkerOrders, now_s: float
@@ -275,14 +275,14 @@
         spec = self._store.spec_of(run[0])
         if spec is None:
             return
-        lasts_s = self._task_duration(run[0])
+        duration_s = self._task_duration(run[0])
         if spec.data_rack and spec.data_rack != vm.rack:
-            lasts_s *= self.plan.far_factor
+            duration_s *= self.plan.far_factor
         vm.worked_s[run] = vm.worked_s.get(run, 0) + step_s
-        if math.isinf(lasts_s):
+        if math.isinf(duration_s):
             percent = _DONE_PERCENT
         else:
-            done = vm.worked_s[run] / lasts_s
+            done = vm.worked_s[run] / duration_s
             percent = min(int(done * _DONE_PERCENT), _DONE_PERCENT)
         worker.running[run] = RunningTask(*run, '', percent)
         if percent >= _DONE_PERCENT and not spec.is_service:
--- a/src/wigeonreach/lab/_variants.py
+++ b/src/wigeonreach/lab/_variants.py
@@ -89,7 +89,7 @@
 
 
 def _all_rooms(*asked: object) -> object:
-    """Return the last argument, so that the patched method filters nothing."""
+    """Return the rooms that ``NearRooms.near`` is given last."""
     return asked[-1]
 
 
--- a/src/wigeonreach/standins/__init__.py
+++ b/src/wigeonreach/standins/__init__.py
@@ -1,4 +1,4 @@
-"""Stand in for the systems outside: targets, workers, platform and callers."""
+"""Stand-ins for external systems: targets, workers and the platform."""
 
 from wigeonreach.standins._app import app
 from wigeonreach.standins._worker import StandInWorker
--- a/src/wigeonreach/standins/_announcer.py
+++ b/src/wigeonreach/standins/_announcer.py
@@ -1,4 +1,4 @@
-"""Announce a stand-in target to the entries, as a real target should."""
+"""Announcement of a stand-in target to the entries."""
 
 from __future__ import annotations
 
@@ -38,9 +38,10 @@
 class AnnouncerOptions:
     """How a target announces itself.
 
-    A naive target announces at a fixed interval, tells its state nowhere
-    else, and takes any answer for enough.  An interval of 0 follows what the
-    entries ask for; a lease of 0 is four intervals.
+    A naive target offers its state neither at a path nor in headers, and
+    treats any accepted announcement of its leave as sufficient.  An interval
+    of 0 means the one that the entries request; a lease of 0 means four
+    intervals.
     """
 
     entries: tuple[str, ...]
@@ -50,14 +51,14 @@
 
 
 class Announcer:
-    """Tell the entries that a target serves, and later that it leaves.
+    """Announces a target to the entries, and later that it leaves.
 
     Parameters
     ----------
     target_id, service, address
-        What is announced.
+        Identity of the target.
     options
-        To whom and how often.
+        Entries, intervals and behaviour.
     """
 
     def __init__(
@@ -67,7 +68,7 @@
         address: str,
         options: AnnouncerOptions,
     ) -> None:
-        """Take a new incarnation."""
+        """Begin a new incarnation."""
         self._target_id = target_id
         self._service = service
         self._address = address
@@ -81,12 +82,12 @@
 
     @property
     def state(self) -> str:
-        """What the target says of itself."""
+        """State that the target announces."""
         return 'leaving' if self._leaving.is_set() else 'serving'
 
     @property
     def headers(self) -> dict[str, str]:
-        """Headers that each answer of the target carries."""
+        """Headers of each response of the target."""
         if self._options.is_naive:
             return {}
         return {
@@ -95,11 +96,11 @@
         }
 
     def leave(self) -> None:
-        """From now on the target says that it leaves."""
+        """Announce from now on that the target is leaving."""
         self._leaving.set()
 
     async def run(self) -> None:
-        """Announce until the target left and enough entries know it."""
+        """Announce until the target leaves and enough entries know of it."""
         async with aiohttp.ClientSession() as session:
             while not self._leaving.is_set():
                 await self._announce(session, self._choose_entry())
@@ -129,8 +130,8 @@
         session: aiohttp.ClientSession,
         entry: str,
     ) -> int:
-        # The first of all announcements must not be lost: it tells that no
-        # entry can have anything in flight here yet.
+        # The first announcement must not be lost: it tells the entries that
+        # none of them can have a request in flight here yet.
         if not self._sequence and not await _is_up(session, entry):
             return 0
         self._sequence += 1
--- a/src/wigeonreach/standins/_app.py
+++ b/src/wigeonreach/standins/_app.py
@@ -1,4 +1,4 @@
-"""Gather the stand-ins' commands."""
+"""Command line interface of the stand-ins."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 app = typer.Typer(
     no_args_is_help=True,
-    help='Stand in for what is outside the system.',
+    help='Run stand-ins for external systems.',
     pretty_exceptions_enable=False,
 )
 app.command()(target)
--- a/src/wigeonreach/standins/_faults.py
+++ b/src/wigeonreach/standins/_faults.py
@@ -1,4 +1,4 @@
-"""Answer as a broken target would: short, late, crossed or garbage."""
+"""Fault injection into a target's responses."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Fault(enum.StrEnum):
-    """What is wrong with an answer."""
+    """Kind of faulty response."""
 
     SHORT = 'short'
     LATE = 'late'
@@ -25,14 +25,14 @@
 
 
 class FaultInjector:
-    """Break some of a target's answers; its work is done all the same.
+    """Replaces some of a target's responses; the work is done regardless.
 
     Parameters
     ----------
     kinds
-        What may be wrong.
+        Kinds of faults to inject.
     ratio
-        Share of answers that are broken.
+        Share of responses that are faulty.
     rng
         Source of random choices.
     """
@@ -43,7 +43,7 @@
         ratio: float,
         rng: random.Random,
     ) -> None:
-        """Start with no answer that could be crossed."""
+        """Start without an earlier response."""
         self._kinds = kinds
         self._ratio = ratio
         self._rng = rng
@@ -54,23 +54,23 @@
         request: web.Request,
         text: str,
     ) -> web.StreamResponse | None:
-        """Send a broken answer in place of the right one.
+        """Send a faulty response in place of the correct one.
 
         Parameters
         ----------
         request
-            What was asked.
+            The request to respond to.
         text
-            The right answer.
+            Body of the correct response.
 
         Returns
         -------
         aiohttp.web.StreamResponse or None
-            The broken answer, or None if the right one shall be sent.
+            The faulty response, or None if the correct one is to be sent.
         """
-        asked = request.headers.get(REQUEST_ID_HEADER, '')
+        request_id = request.headers.get(REQUEST_ID_HEADER, '')
         previous = self._previous
-        self._previous = (asked, text)
+        self._previous = (request_id, text)
         if not self._kinds or self._rng.random() >= self._ratio:
             return None
         match self._rng.choice(self._kinds):
@@ -80,11 +80,11 @@
             case Fault.CROSSED:
                 return _response(*previous)
             case Fault.SHORT:
-                raw = _raw_response(asked, text, len(text) + 5)
+                raw = _raw_response(request_id, text, len(text) + 5)
             case Fault.DOUBLED:
-                raw = _raw_response(asked, text, len(text)) + _raw_response(
-                    *previous, -1
-                )
+                raw = _raw_response(
+                    request_id, text, len(text)
+                ) + _raw_response(*previous, -1)
             case _:
                 raw = _GARBAGE
         return _send(request, raw)
@@ -111,5 +111,5 @@
     if request.transport is not None:
         request.transport.write(raw)
         request.transport.close()
-    # The connection is closed already: this answer goes nowhere.
+    # The connection is closed already, so this response is never sent.
     return web.Response()
--- a/src/wigeonreach/standins/_platform.py
+++ b/src/wigeonreach/standins/_platform.py
@@ -1,4 +1,4 @@
-"""Stand in for the platform that owns the workers and VMs."""
+"""Stand-in for the platform that owns the workers and VMs."""
 
 from __future__ import annotations
 
@@ -26,13 +26,15 @@
 _Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 _BadImages = Annotated[
     list[str],
-    typer.Option('--bad-image', help='VM that never is healthy again.'),
+    typer.Option(
+        '--bad-image', help='VM that is never healthy after a reboot.'
+    ),
 ]
 _Ratio = Annotated[float, typer.Option(min=0, max=1)]
 
 
 class FaultRatios(msgspec.Struct, frozen=True):
-    """How often an answer is late, lost, wrong, or a request done twice."""
+    """Share of responses late, lost or wrong, and of requests done twice."""
 
     late_ratio: float
     lost_ratio: float
@@ -57,7 +59,7 @@
     wrong_ratio: _Ratio = 0,
     seed: int = 1,
 ) -> None:
-    """List VMs and tasks and act on them, with faults on demand."""
+    """Serve the API of the platform, optionally with injected faults."""
     fleet = Fleet(
         new_vms(zones, vms_per_zone, vms_per_rack),
         Timing(drain_s, reboot_s, check_s, task_s),
@@ -79,13 +81,13 @@
     rng = random.Random(seed)  # noqa: S311 - faults are no secret
 
     @web.middleware
-    async def misbehave(  # noqa: WPS430 - aiohttp wants a function
+    async def with_faults(  # noqa: WPS430 - aiohttp wants a function
         request: web.Request,
         handler: _Handler,
     ) -> web.StreamResponse:
         return await _inject_faults(request, handler, faults, rng)
 
-    application = web.Application(middlewares=[misbehave])
+    application = web.Application(middlewares=[with_faults])
     application[_FLEET] = fleet
     application.router.add_get('/v1/vms', _on_list)
     application.router.add_post('/v1/vms/{name}/actions', _on_vm_action)
--- a/src/wigeonreach/standins/_platform_fleet.py
+++ b/src/wigeonreach/standins/_platform_fleet.py
@@ -1,4 +1,4 @@
-"""VMs and tasks of the platform's stand-in, and what befalls them."""
+"""Simulated VMs and tasks of the platform's stand-in."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class ActionLine(msgspec.Struct, frozen=True):
-    """One line of the action log: what truly happened to a VM."""
+    """One line of the action log: what actually happened to a VM."""
 
     at_s: float
     vm: str
@@ -37,7 +37,7 @@
 
 
 class Timing(msgspec.Struct, frozen=True):
-    """How long things take, in seconds."""
+    """Durations of actions and tasks, in seconds."""
 
     drain_s: float
     reboot_s: float
@@ -46,22 +46,22 @@
 
 
 class FencedError(Exception):
-    """The action carries a lower token than one seen before."""
+    """The action has a lower fencing token than one seen before."""
 
 
 class Fleet:
-    """All VMs; the log outlives a killed process.
+    """All VMs; the action log survives when the process is killed.
 
     Parameters
     ----------
     vms
-        Views to begin with.
+        Initial state of the VMs.
     timing
-        How long drains, reboots and checks take.
+        Durations of drains, reboots, checks and tasks.
     bad_images
-        VMs that come back from a reboot without ever being healthy.
+        VMs that are never healthy after a reboot.
     log_path
-        File of ``ActionLine``, one JSON line each.
+        Action log: one ``ActionLine`` per line, as JSON.
     """
 
     def __init__(
@@ -71,7 +71,7 @@
         bad_images: frozenset[str],
         log_path: pathlib.Path,
     ) -> None:
-        """Open the log."""
+        """Open the action log."""
         self._vms = {vm.name: vm for vm in vms}
         self._timing = timing
         self._bad_images = bad_images
@@ -85,7 +85,7 @@
         self._tasks: dict[str, TaskView] = {}
 
     def page(self, after: int) -> tuple[int, list[VmView]]:
-        """Return the revision and the VMs that changed after one."""
+        """Return the current revision and the VMs changed after another."""
         self.advance()
         changed = [
             self._with_tasks(self._vms[name])
@@ -100,12 +100,12 @@
         return [task for task in self._tasks.values() if task.worker == worker]
 
     def act(self, action: VmAction) -> None:
-        """Begin an action once, however often it is sent.
+        """Start an action; resends of it have no effect.
 
         Raises
         ------
         FencedError
-            If it is older than one that was seen.
+            If the token is lower than one seen for the VM.
         """
         self.advance()
         self._check_token(action.vm, action.fencing_token)
@@ -117,7 +117,7 @@
         self._start_action(action)
 
     def act_on_task(self, action: TaskAction) -> None:
-        """Start a task under a lease, or end or slow it.
+        """Start or stop a task under a lease; running tasks ignore the rest.
 
         Raises
         ------
@@ -130,7 +130,8 @@
             if action.kind is ActionKind.STOP:
                 self._end_task(known, 'stopped')
             return
-        # A stop that overtakes its start leaves proof that it never ran.
+        # A stop that arrives before its start leaves a record that the task
+        # never ran, so that the late start is ignored.
         is_start = action.kind is ActionKind.START
         if is_start:
             self._log_task_start(action)
@@ -145,7 +146,7 @@
         )
 
     def advance(self) -> None:
-        """Let what is due happen."""
+        """Finish the actions and tasks that are due."""
         now_s = time.monotonic()
         due = [entry for entry in self._scheduled if entry[0] <= now_s]
         self._scheduled = [
@@ -212,7 +213,7 @@
 
     def _end_task(self, task: TaskView, state: str) -> None:
         self._tasks[task.job_id] = dataclasses.replace(task, state=state)
-        # A drain shows what is still in flight.
+        # The VM's number of tasks in flight, which a drain shows, has changed.
         self._revision += 1
         self._changed[task.worker] = self._revision
 
@@ -259,12 +260,12 @@
 
 
 def read_action_log(path: pathlib.Path) -> list[ActionLine]:
-    """Return all lines of an action log, in the order written."""
+    """Return all lines of an action log in the order written."""
     return msgspec.json.Decoder(ActionLine).decode_lines(path.read_bytes())
 
 
 def new_vms(zones: list[str], per_zone: int, per_rack: int) -> list[VmView]:
-    """Return VMs that serve, spread over zones and racks."""
+    """Return serving VMs, spread over zones and racks."""
     return [
         VmView(
             name=f'{zone}-vm-{number}',
--- a/src/wigeonreach/standins/_run_log.py
+++ b/src/wigeonreach/standins/_run_log.py
@@ -1,4 +1,4 @@
-"""Write down what targets ran, so that it can be checked independently."""
+"""Log of the requests that targets ran, for independent checks."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class RunKind(enum.StrEnum):
-    """What a line of the run log tells."""
+    """Kind of a line in the run log."""
 
     START = 'start'
     END = 'end'
@@ -30,16 +30,16 @@
 
 
 class RunLog:
-    """An append-only file of lines; it outlives a killed target.
+    """Append-only run log; it survives when the target is killed.
 
     Parameters
     ----------
     path
         The file, shared by all targets.
     target_id
-        Who writes.
+        Target that writes the log.
     process_id
-        Tells one start of a target from the next.
+        Distinguishes one start of a target from the next.
     """
 
     def __init__(
@@ -55,7 +55,7 @@
         self._process_id = process_id
 
     def write(self, kind: RunKind, work: str, running: int) -> None:
-        """Append one line in a single write."""
+        """Append one line in a single system call."""
         line = RunLine(
             self._target_id,
             self._process_id,
@@ -68,6 +68,6 @@
 
 
 def read_run_log(path: pathlib.Path) -> list[RunLine]:
-    """Return all lines of a run log, in the order written."""
+    """Return all lines of a run log in the order written."""
     decoder = msgspec.json.Decoder(RunLine)
     return decoder.decode_lines(path.read_bytes())
--- a/src/wigeonreach/standins/_target.py
+++ b/src/wigeonreach/standins/_target.py
@@ -1,4 +1,4 @@
-"""Stand in for a target: it announces itself, serves and keeps a run log."""
+"""Stand-in for a target: announces itself, serves and logs its runs."""
 
 from __future__ import annotations
 
@@ -30,19 +30,19 @@
     Parameters
     ----------
     target_id
-        Its name.
+        Id of the target.
     address
-        Where it serves.
+        IP:PORT to serve on.
     announcer
-        Tells the entries.
+        Announces the target to the entries.
     run_log
-        Where each run is written before it begins.
+        Log to which each run is written before it starts.
     service_time_s
-        Mean time of one run, in seconds.
+        Mean duration of a run, in seconds.
     faults
-        Breaks some of the answers.
+        Injects faults into responses.
     run_slots
-        How many requests it works on at once; what comes on top waits.
+        Maximum number of requests worked on at once; others wait.
     """
 
     def __init__(
@@ -55,7 +55,7 @@
         faults: FaultInjector,
         run_slots: int = _UNLIMITED,
     ) -> None:
-        """Prepare; nothing is announced yet."""
+        """Prepare; announcements begin in ``run``."""
         self._target_id = target_id
         self._address = address
         self._announcer = announcer
@@ -68,7 +68,7 @@
         self._rng = random.Random(target_id)  # noqa: S311
 
     async def run(self) -> None:
-        """Serve until told to leave, then finish what is in flight."""
+        """Serve until SIGTERM, then finish the requests in flight."""
         application = web.Application()
         application.router.add_get(STATE_PATH, self._on_state)
         application.router.add_route('*', '/{tail:.*}', self._on_request)
@@ -104,9 +104,9 @@
             self._running -= 1
         self._run_log.write(RunKind.END, work, self._running)
         text = f'{self._target_id} {work}'
-        spoiled = await self._faults.faulty_response(request, text)
-        if spoiled is not None:
-            return spoiled
+        faulty = await self._faults.faulty_response(request, text)
+        if faulty is not None:
+            return faulty
         return web.Response(
             text=text,
             headers={
--- a/src/wigeonreach/standins/_worker.py
+++ b/src/wigeonreach/standins/_worker.py
@@ -1,4 +1,4 @@
-"""Stand in for a worker that runs tasks under a lease."""
+"""Stand-in for a worker that runs tasks under a lease."""
 
 from __future__ import annotations
 
@@ -21,26 +21,26 @@
 
 @dataclasses.dataclass(slots=True)
 class StandInWorker:
-    """A worker; it obeys, and does no work of its own.
+    """Simulated worker: follows orders, but performs no work.
 
     Attributes
     ----------
     name
-        Its id, which it keeps when it starts again.
+        Id of the worker, kept across restarts.
     vm
-        Outlives the worker.
+        VM that the worker runs on; it outlives the worker.
     born_ms
-        When it started, since 1970; None if it does not say.
+        Start time, in milliseconds since 1970; None if not reported.
     clock_ms
-        What its steady clock says; None if it does not tell.
+        Reading of its monotonic clock; None if not reported.
     fence
-        The highest that it was given; orders under a lower one are ignored.
+        Highest fencing token received; orders with a lower one are ignored.
     lease_until_s
-        When its lease is over, on the clock that ``obey`` is given.
+        When its lease expires, on the clock that is passed to ``obey``.
     running, ended
-        Its runs; ends are listed until they are acknowledged.
+        Active runs, and ended runs, listed until they are acknowledged.
     over
-        The highest run of each task that ended here: none up to it begins.
+        Highest ended run of each task; a run up to it is refused.
     """
 
     name: str
@@ -66,12 +66,12 @@
 
     @property
     def incarnation(self) -> str:
-        """The name of the life that it leads now."""
+        """Name of the current incarnation."""
         return incarnation_name(self.name, self.born_ms)
 
     @property
     def last_report(self) -> WorkerReport:
-        """Its newest heartbeat."""
+        """The latest heartbeat."""
         return WorkerReport(
             worker=self.incarnation,
             vm=self.vm,
@@ -95,7 +95,7 @@
         return self.last_report
 
     def restart(self, born_ms: int) -> None:
-        """Start again under its id: hold, count and know nothing of before."""
+        """Restart with the same id and without any earlier state."""
         self.born_ms = born_ms
         self.sequence = 0
         self.fence = 0
@@ -112,21 +112,21 @@
         percent: int = 100,
         sent_s: float = 0.0,
     ) -> tuple[StartOrder, ...]:
-        """Stop and start what the orders say.
+        """Stop and start runs as ordered.
 
         Parameters
         ----------
         orders
-            Answer to the newest heartbeat.
+            Answer to the latest heartbeat.
         percent
-            How far a run is that starts.
+            Initial progress of started runs.
         sent_s
-            When that heartbeat was sent.
+            When that heartbeat was sent, in seconds.
 
         Returns
         -------
         tuple of StartOrder
-            What was started.
+            The orders of the runs that were started.
         """
         if orders.fence < self.fence or not orders.lease_ms:
             return ()
@@ -139,36 +139,36 @@
         for stop in orders.stops:
             if (stop.task, stop.run) in self.running:
                 self.end((stop.task, stop.run), RunEnd.STOPPED)
-        begun = tuple(
+        started = tuple(
             start for start in orders.starts if self._may_start(start)
         )
-        for start in begun:
+        for start in started:
             run = (start.task, start.run)
             self.running[run] = RunningTask(*run, '', percent)
-        return begun
+        return started
 
     def lapse(self, now_s: float) -> None:
-        """End all runs if the lease is over."""
+        """End all runs if the lease has expired."""
         if now_s > self.lease_until_s:
             for run in list(self.running):
                 self.end(run, RunEnd.LAPSED)
 
     def advance(self, percent: int) -> None:
-        """Let all runs be so far."""
+        """Set the progress of all runs."""
         for run in self.running:
             self.advance_one(run, percent)
 
     def advance_one(self, run: Run, percent: int) -> None:
-        """Let one run be so far."""
+        """Set the progress of one run."""
         self.running[run] = RunningTask(*run, '', percent)
 
     def end(self, run: Run, how: RunEnd) -> None:
-        """Let a run end."""
+        """End a run and report it in the next heartbeats."""
         self.running.pop(run)
         self._report_end(run, how)
 
     def _may_start(self, start: StartOrder) -> bool:
-        """Refuse a run that is not higher than one that ended here."""
+        """Refuse a run that is not newer than one that ended here."""
         if start.run > self.over.get(start.task, 0):
             return True
         self._report_end((start.task, start.run), RunEnd.REFUSED)
--- a/tests/lab/test_day.py
+++ b/tests/lab/test_day.py
@@ -1,4 +1,4 @@
-"""Test that emulated days are repeatable, and find faults that are planted."""
+"""Test that simulated days are repeatable and detect injected defects."""
 
 from __future__ import annotations
 
@@ -28,7 +28,8 @@
 _DEMAND = DemandPlan(
     services=2, jobs_per_s=3.0, peak_s=3.0, length_s=9.0, serving_tasks=2
 )
-# A sixth of what makes the fleet late: 0.687 on the mean of eight days.
+# A sixth of the load at which the fleet falls behind: there the mean worth of
+# eight days was 0.687.
 _CALM = DayPlan(dataclasses.replace(_DEMAND, jobs_per_s=0.5), _FLEET)
 _TROUBLE = DayPlan(_DEMAND, _FLEET, faults_per_s=1.5, leader_changes=1)
 _KINDS = DayPlan(
@@ -44,30 +45,32 @@
 _SEEDS = range(4)
 
 
-def _play(plan: DayPlan, seed: int = 1) -> Outcome:
+def _simulate(plan: DayPlan, seed: int = 1) -> Outcome:
     return Day(plan, seed).simulate()
 
 
 class TestDay(testtools.TestCase):
-    """Days of a small fleet."""
+    """Simulated days of a small fleet."""
 
     def test_same_seed_gives_same_day(self) -> None:
-        """Whatever is drawn depends on the seed alone."""
-        self.assertThat(_play(_TROUBLE), matchers.Equals(_play(_TROUBLE)))
+        """All random choices depend on the seed alone."""
+        self.assertThat(
+            _simulate(_TROUBLE), matchers.Equals(_simulate(_TROUBLE))
+        )
 
-    def test_calm_day_serves_its_callers(self) -> None:
-        """At a load that the fleet can bear."""
+    def test_jobs_are_on_time_at_low_load(self) -> None:
+        """The fleet has capacity for the load, so nearly all jobs are on time."""
         for seed in _SEEDS:
-            outcome = _play(_CALM, seed)
+            outcome = _simulate(_CALM, seed)
             self.assertThat(outcome.worth, matchers.GreaterThan(0.95))
             self.assertThat(
                 outcome.vm_s, matchers.GreaterThan(outcome.needed_vm_s)
             )
 
-    def test_each_kind_of_job_ends(self) -> None:
-        """Gangs, labels, data near racks, copies and timed jobs."""
+    def test_each_kind_of_job_completes(self) -> None:
+        """Gangs, labels, data on racks, speculative runs and recurring jobs."""
         for seed in _SEEDS:
-            outcome = _play(_KINDS, seed)
+            outcome = _simulate(_KINDS, seed)
             endless = [
                 kind
                 for kind, ratios in outcome.ratios.items()
@@ -75,42 +78,42 @@
             ]
             self.assertThat(endless, matchers.Equals([]), f'seed {seed}')
 
-    def test_days_with_trouble_break_no_rule(self) -> None:
-        """Crashes, cuts, slow workers and another leader."""
+    def test_days_with_faults_violate_no_invariant(self) -> None:
+        """Crashes, partitions, slow workers and a change of leader."""
         for seed in _SEEDS:
-            _play(_TROUBLE, seed)
+            _simulate(_TROUBLE, seed)
 
 
-class TestPlantedFaults(testtools.TestCase):
-    """Variants that break a rule."""
+class TestInjectedDefects(testtools.TestCase):
+    """Defects of the scheduler that the invariants must detect."""
 
-    def _play_all(self) -> None:
+    def _simulate_all(self) -> None:
         for seed in range(12):
-            _play(_TROUBLE, seed)
+            _simulate(_TROUBLE, seed)
 
-    def test_lease_that_is_taken_for_shorter_is_found(self) -> None:
-        """Work is reassigned while its worker still runs it."""
+    def test_too_early_lease_expiry_is_detected(self) -> None:
+        """Runs are reassigned while their worker still holds its lease."""
         for module in (_incarnation, _workers):
             patch = mock.patch.object(module, 'LEASE_OVER_S', 1.0)
             patch.start()
             self.addCleanup(patch.stop)
-        self.assertRaises(BrokenRuleError, self._play_all)
+        self.assertRaises(BrokenRuleError, self._simulate_all)
 
-    def test_room_that_is_not_counted_is_found(self) -> None:
-        """More is started on a worker than it holds."""
+    def test_uncounted_resources_are_detected(self) -> None:
+        """More runs are started on a worker than fit its capacity."""
         with mock.patch.object(_room_left, '_add_known', _forget):
-            self.assertRaises(BrokenRuleError, self._play_all)
+            self.assertRaises(BrokenRuleError, self._simulate_all)
 
 
 def _forget(*_: object) -> None:
-    """Count nothing in."""
+    """Replacement that counts no task."""
 
 
 class TestVariants(testtools.TestCase):
-    """Mechanisms that are switched off for a comparison."""
+    """Mechanisms that are disabled for a comparison."""
 
     def test_overrides_are_undone(self) -> None:
-        """The scheduler is as before once the days are played."""
+        """The original value is restored on exit."""
         before = _pools._LOOKAHEAD_S  # noqa: SLF001
         with applied(VARIANTS['without lookahead']):
             self.assertThat(
@@ -122,8 +125,8 @@
             matchers.Equals(before),
         )
 
-    def test_each_variant_can_be_played(self) -> None:
-        """Each names something that is still there."""
+    def test_each_variant_can_be_applied(self) -> None:
+        """Each variant overrides a name that still exists."""
         for variant in VARIANTS.values():
             with applied(variant):
                 Day(_CALM, 1)
--- a/tests/manager/test_core.py
+++ b/tests/manager/test_core.py
@@ -1,4 +1,4 @@
-"""Test what a manager records and asks for."""
+"""Test which records and effects a manager decides on."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 def _after(record: WaveRecord, plan: Plan, phase: str = '') -> WaveRecord:
-    """Return a record as the durable state has it after a plan."""
+    """Return a record as the durable state holds it after a plan."""
     body = plan.records[0].body if plan.records else record.body
     return WaveRecord(
         record.wave_id,
@@ -65,10 +65,10 @@
 
 
 class TestManagerCore(testtools.TestCase):
-    """Waves over one pool, beside one that is only watched."""
+    """Waves over one pool; a second pool is only watched."""
 
-    def test_recorded_first(self) -> None:
-        """What is asked of the platform stands in the record already."""
+    def test_effects_are_recorded_first(self) -> None:
+        """The record already contains each effect sent to the platform."""
         plan = _core().step(_VMS, [_RECORD], 0)
 
         state = decode_body(plan.records[0].body).state
@@ -79,16 +79,16 @@
         self.assertThat(asked, Equals(draining))
         self.assertThat('a-vm-4' in phases, Equals(False))
 
-    def test_restarted(self) -> None:
-        """A manager that takes over asks again under the same ids."""
+    def test_new_manager_resends_effects(self) -> None:
+        """A manager that takes over resends effects with the same ids."""
         first = _core().step(_VMS, [_RECORD], 0)
 
         second = _core().step(_VMS, [_after(_RECORD, first)], 1)
 
         self.assertThat(second.effects, Equals(first.effects))
 
-    def test_read_back(self) -> None:
-        """A VM is rebooted once its own drain is seen to have ended."""
+    def test_reboot_follows_own_drain(self) -> None:
+        """A VM is rebooted only when the current attempt's drain has ended."""
         core = _core()
         plan = core.step(_VMS, [_RECORD], 0)
         record = _after(_RECORD, plan)
@@ -102,8 +102,8 @@
             [effect.kind for effect in late.effects], Equals(['reboot'])
         )
 
-    def test_stopped(self) -> None:
-        """A stop gives a VM back that only drains."""
+    def test_stop_undrains_vm(self) -> None:
+        """Stopping a wave returns a VM that is still draining to service."""
         core = _core()
         plan = core.step(_VMS, [_RECORD], 0)
 
@@ -113,8 +113,8 @@
             [effect.kind for effect in stopped.effects], Equals(['undrain'])
         )
 
-    def test_lost_undrain(self) -> None:
-        """An undrain that the platform has lost is sent again."""
+    def test_lost_undrain_is_resent(self) -> None:
+        """An undrain that the platform lost is sent again."""
         core = _core()
         plan = core.step(_VMS, [_RECORD], 0)
         record = _after(_RECORD, plan, 'stopped')
@@ -125,8 +125,8 @@
 
         self.assertThat(again.effects, Equals(stopped.effects))
 
-    def test_ended_wave(self) -> None:
-        """A wave that was stopped before it began stays untouched."""
+    def test_wave_stopped_before_start(self) -> None:
+        """A wave that was stopped before it started is ignored."""
         stopped = _after(_RECORD, Plan((), ()), 'stopped')
 
         plan = _core().step(_VMS, [stopped], 0)
--- a/tests/manager/test_job_actions.py
+++ b/tests/manager/test_job_actions.py
@@ -1,4 +1,4 @@
-"""Test that a claim stands before each start of a non-idempotent job."""
+"""Test that a non-idempotent job is claimed before it is started."""
 
 from __future__ import annotations
 
@@ -21,17 +21,17 @@
 
 
 class _State:
-    """Grants leases from memory, or can't be reached."""
+    """Fake durable state: grants leases, or is unreachable."""
 
     def __init__(self) -> None:
-        """Start with no claim."""
+        """Start without claims."""
         self.claims: list[str] = []
         self.is_reachable = True
 
     async def submit(
         self, _action: Any, command_id: str | None = None
     ) -> Reply:
-        """Grant; a resent command gets its first reply."""
+        """Grant a lease; a resent command gets its first reply."""
         if not self.is_reachable:
             raise StateError(ResultCode.STATE_NO_QUORUM, 'cut off')
         assert command_id is not None
@@ -46,15 +46,15 @@
 
 
 class _Platform:
-    """Notes what it is asked, or loses the answer."""
+    """Fake platform: records requested actions, or loses the response."""
 
     def __init__(self) -> None:
-        """Start with nothing asked."""
+        """Start without requested actions."""
         self.asked: list[str] = []
         self.is_lossy = False
 
     async def act(self, action: Action) -> None:
-        """Note the action."""
+        """Record the action."""
         self.asked.append(action.action_id)
         if self.is_lossy:
             raise PlatformError(ResultCode.PLATFORM_UNREACHABLE, 'lost')
@@ -69,17 +69,17 @@
 
 
 class TestJobActions(testtools.TestCase):
-    """Claims, resends and their order."""
+    """Claims, resends and the order of actions."""
 
     def setUp(self) -> None:
-        """Put the actions between a state and a platform."""
+        """Connect the actions to a fake state and a fake platform."""
         super().setUp()
         self.state = _State()
         self.platform = _Platform()
         self.actions = self._actions()
 
-    def test_lost_answer(self) -> None:
-        """A start whose answer is lost is resent under one claim."""
+    def test_lost_response(self) -> None:
+        """A start whose response is lost is resent under the same claim."""
         self.actions.add([_START])
         self.platform.is_lossy = True
         self._send()
@@ -93,8 +93,8 @@
         )
         self.assertThat(self.state.claims, HasLength(1))
 
-    def test_claimed_before(self) -> None:
-        """A job that was claimed before is ended and never started."""
+    def test_claimed_job_is_not_started(self) -> None:
+        """A job that was claimed earlier fails and is not started."""
         self.state.claims.append('job/bill/3/start/1')
         self.actions.add([_START])
 
@@ -103,8 +103,8 @@
         self.assertThat([end.change for end in ends], Equals([TaskEnd.FAILED]))
         self.assertThat(self.platform.asked, Equals([]))
 
-    def test_claim_unknown(self) -> None:
-        """Without the durable state a billing run waits."""
+    def test_start_waits_for_durable_state(self) -> None:
+        """Without the durable state, a non-idempotent job is not started."""
         self.actions.add([_START])
         self.state.is_reachable = False
         self.assertThat(self._send(), Equals([]))
@@ -114,8 +114,8 @@
         self._send()
         self.assertThat(self.platform.asked, HasLength(1))
 
-    def test_checkpoint_first(self) -> None:
-        """A checkpoint goes before its stop, and a lost one holds it back."""
+    def test_checkpoint_precedes_stop(self) -> None:
+        """A stop waits until its checkpoint is confirmed."""
         self.actions.add([StopTask('job', 'vm-0', 8, with_checkpoint=True)])
         self.platform.is_lossy = True
         self._send()
--- a/tests/provider/__init__.py
+++ b/tests/provider/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the platform package."""
+"""Tests of the provider package."""
--- a/tests/provider/test_client.py
+++ b/tests/provider/test_client.py
@@ -1,4 +1,4 @@
-"""Test that no answer of the platform is trusted unchecked."""
+"""Test that the client validates the platform's responses."""
 
 from __future__ import annotations
 
@@ -37,10 +37,10 @@
 
 
 class TestPlatformClient(testtools.TestCase):
-    """Faults on the way to a platform and back."""
+    """Faults between the client and the platform."""
 
     def setUp(self) -> None:
-        """Lay out two VMs."""
+        """Create a fleet of two VMs."""
         super().setUp()
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
@@ -53,7 +53,7 @@
         )
 
     def test_lists_changes(self) -> None:
-        """Only what changed after a revision is told again."""
+        """Only VMs that changed after a revision are listed."""
 
         async def talk(client: PlatformClient) -> None:
             first = await client.list_vms(0)
@@ -68,8 +68,8 @@
 
         self._talk(talk)
 
-    def test_lost(self) -> None:
-        """An action whose answer is lost is sent again and done once."""
+    def test_lost_response(self) -> None:
+        """A resent action whose response was lost takes effect once."""
 
         async def talk(client: PlatformClient) -> None:
             for _ in range(2):
@@ -81,8 +81,8 @@
         self._talk(talk, lost_ratio=1)
         self.assertThat(read_action_log(self.log), HasLength(1))
 
-    def test_doubled(self) -> None:
-        """A request that arrives twice is done once."""
+    def test_doubled_request(self) -> None:
+        """A request that arrives twice takes effect once."""
 
         async def talk(client: PlatformClient) -> None:
             await client.act(_DRAIN)
@@ -90,8 +90,8 @@
         self._talk(talk, doubled_ratio=1)
         self.assertThat(read_action_log(self.log), HasLength(1))
 
-    def test_wrong(self) -> None:
-        """An answer to another request is refused."""
+    def test_response_to_another_request(self) -> None:
+        """A response that belongs to another request is rejected."""
 
         async def talk(client: PlatformClient) -> None:
             wrong = ResultCode.PLATFORM_ANSWER_WRONG
@@ -100,8 +100,8 @@
 
         self._talk(talk, wrong_ratio=1)
 
-    def test_fenced(self) -> None:
-        """The platform refuses an older holder of the lease."""
+    def test_lower_token_is_fenced(self) -> None:
+        """The platform refuses an action of an earlier lease holder."""
 
         async def talk(client: PlatformClient) -> None:
             await client.act(_DRAIN)
@@ -116,7 +116,7 @@
         self.assertThat(read_action_log(self.log), HasLength(1))
 
     def test_overtaken_start(self) -> None:
-        """A start that its stop has overtaken never runs."""
+        """A start that arrives after its stop is ignored."""
 
         async def talk(client: PlatformClient) -> None:
             stop = dataclasses.replace(_START, kind=ActionKind.STOP)
