--- a/src/wigeonreach/manager/_core.py
+++ b/src/wigeonreach/manager/_core.py
@@ -220,9 +220,9 @@
         track = self._track(operation_id)
         if track is None:
             return
-        wanted = _FINAL_EFFECTS.get((view.phase, track.phase))
-        if wanted is not None:
-            yield WaveEffect(wanted, view.name, operation_id)
+        kind = _FINAL_EFFECTS.get((view.phase, track.phase))
+        if kind is not None:
+            yield WaveEffect(kind, view.name, operation_id)
 
     def _is_current(self, view: VmView) -> bool:
         operation_id, _, _ = view.action_id.rpartition('/')
--- a/src/wigeonreach/manager/_job_actions.py
+++ b/src/wigeonreach/manager/_job_actions.py
@@ -74,12 +74,12 @@
             for action in _actions(effect):
                 self._pending[action.action_id] = action
 
-    async def send(self, once: frozenset[str]) -> list[TaskChanged]:
+    async def send(self, non_idempotent: frozenset[str]) -> list[TaskChanged]:
         """Send all pending actions.
 
         Parameters
         ----------
-        once
+        non_idempotent
             Ids of non-idempotent jobs, which must be started at most once.
 
         Returns
@@ -92,7 +92,7 @@
             by_worker.setdefault(action.worker, []).append(action)
         ends = await asyncio.gather(
             *(
-                self._send_to_worker(actions, once)
+                self._send_to_worker(actions, non_idempotent)
                 for actions in by_worker.values()
             ),
         )
@@ -101,13 +101,13 @@
     async def _send_to_worker(
         self,
         actions: list[TaskAction],
-        once: frozenset[str],
+        non_idempotent: frozenset[str],
     ) -> list[TaskChanged]:
         ends: list[TaskChanged] = []
         # Actions of one worker keep their order, because a stop frees the
         # resources that a later start needs.
         for action in actions:
-            claim = await self._claim_for(action, once)
+            claim = await self._claim_for(action, non_idempotent)
             if claim is _Claim.REFUSED:
                 self._pending.pop(action.action_id)
                 ends.append(_possible_run(action))
@@ -118,9 +118,9 @@
     async def _claim_for(
         self,
         action: TaskAction,
-        once: frozenset[str],
+        non_idempotent: frozenset[str],
     ) -> _Claim:
-        if action.kind is ActionKind.START and action.job_id in once:
+        if action.kind is ActionKind.START and action.job_id in non_idempotent:
             return await self._claim(action)
         return _Claim.GRANTED
 
--- a/src/wigeonreach/provider/_client.py
+++ b/src/wigeonreach/provider/_client.py
@@ -71,19 +71,19 @@
     async def list_vms(self, after_revision: int) -> VmPage:
         """Return the VMs that changed after a revision; 0 for all."""
         path = f'/v1/vms?after={after_revision}'
-        answer = await self._request('GET', path, VmPageSchema)
-        return answer.page()
+        response = await self._request('GET', path, VmPageSchema)
+        return response.page()
 
     async def list_tasks(self, worker: str) -> tuple[TaskView, ...]:
         """Return the tasks of a worker; their usage lags behind."""
         path = f'/v1/workers/{worker}/tasks'
-        answer = await self._request('GET', path, TasksSchema)
-        if any(task.worker != worker for task in answer.tasks):
+        response = await self._request('GET', path, TasksSchema)
+        if any(task.worker != worker for task in response.tasks):
             raise self._counted_error(
                 ResultCode.PLATFORM_ANSWER_WRONG,
                 f'tasks of another worker than {worker}',
             )
-        return tuple(task.view() for task in answer.tasks)
+        return tuple(task.view() for task in response.tasks)
 
     async def act(self, action: Action) -> None:
         """Request an action; its effect shows in later lists.
@@ -94,13 +94,15 @@
             If the platform refused, or the outcome is unknown.
         """
         body = msgspec.json.encode(action)
-        answer = await self._request('POST', _path(action), ActionSchema, body)
+        response = await self._request(
+            'POST', _path(action), ActionSchema, body
+        )
         expected = (action.action_id, _subject(action))
-        if (answer.action_id, answer.subject) != expected:
+        if (response.action_id, response.subject) != expected:
             raise self._counted_error(
                 ResultCode.PLATFORM_ANSWER_WRONG,
-                f'{answer.action_id} on {answer.subject}, '
-                f'wanted: {action.action_id}',
+                f'{response.action_id} on {response.subject}, '
+                f'expected: {action.action_id}',
             )
 
     async def _request(
@@ -118,19 +120,19 @@
             {'X-Request-Id': request_id},
         )
         try:
-            answer = schema.model_validate_json(raw)
+            response = schema.model_validate_json(raw)
         except pydantic.ValidationError as error:
             raise self._counted_error(
                 ResultCode.PLATFORM_ANSWER_WRONG,
-                f'{path}: {error.error_count()} faults',
+                f'{path}: {error.error_count()} validation errors',
             ) from error
-        if answer.request_id != request_id:
+        if response.request_id != request_id:
             # A late response to an earlier request, or another client's.
             raise self._counted_error(
                 ResultCode.PLATFORM_ANSWER_WRONG,
-                f'{path}: the answer belongs to another request',
+                f'{path}: the response belongs to another request',
             )
-        return answer
+        return response
 
     async def _send(
         self,
@@ -141,7 +143,7 @@
     ) -> bytes:
         if self._session is None:
             raise self._counted_error(
-                ResultCode.PLATFORM_UNREACHABLE, 'not open'
+                ResultCode.PLATFORM_UNREACHABLE, 'the client is not open'
             )
         url = f'{self._url}{path}'
         try:
--- a/tests/manager/test_core.py
+++ b/tests/manager/test_core.py
@@ -74,9 +74,9 @@
         state = decode_body(plan.records[0].body).state
         assert state is not None
         phases = {track.vm: track.phase for track in state.tracks}
-        asked = {effect.vm for effect in plan.effects}
+        affected = {effect.vm for effect in plan.effects}
         draining = {vm for vm in phases if phases[vm] is Phase.DRAINING}
-        self.assertThat(asked, Equals(draining))
+        self.assertThat(affected, Equals(draining))
         self.assertThat('a-vm-4' in phases, Equals(False))
 
     def test_new_manager_resends_effects(self) -> None:
--- a/tests/manager/test_job_actions.py
+++ b/tests/manager/test_job_actions.py
@@ -17,7 +17,7 @@
 from wigeonreach.wire._command_messages import Reply
 
 _START = StartTask('bill', 'vm-0', 7, 30)
-_ONCE = frozenset(('bill',))
+_NON_IDEMPOTENT = frozenset(('bill',))
 
 
 class _State:
@@ -41,7 +41,7 @@
         return Reply(0, '', 1, token=token)
 
     async def read(self, *_arguments: Any, **_options: Any) -> Any:
-        """Answer nothing."""
+        """Not used by these tests."""
         raise NotImplementedError
 
 
@@ -50,21 +50,21 @@
 
     def __init__(self) -> None:
         """Start without requested actions."""
-        self.asked: list[str] = []
+        self.requested: list[str] = []
         self.is_lossy = False
 
     async def act(self, action: Action) -> None:
         """Record the action."""
-        self.asked.append(action.action_id)
+        self.requested.append(action.action_id)
         if self.is_lossy:
             raise PlatformError(ResultCode.PLATFORM_UNREACHABLE, 'lost')
 
     async def list_vms(self, _after_revision: int) -> VmPage:
-        """Answer nothing."""
+        """Not used by these tests."""
         raise NotImplementedError
 
     async def list_tasks(self, _worker: str) -> tuple[TaskView, ...]:
-        """Answer nothing."""
+        """Not used by these tests."""
         raise NotImplementedError
 
 
@@ -88,7 +88,7 @@
         self._send()
 
         self.assertThat(
-            self.platform.asked,
+            self.platform.requested,
             Equals(['bill/7/start/1', 'bill/7/start/1']),
         )
         self.assertThat(self.state.claims, HasLength(1))
@@ -101,18 +101,18 @@
         ends = self._send()
 
         self.assertThat([end.change for end in ends], Equals([TaskEnd.FAILED]))
-        self.assertThat(self.platform.asked, Equals([]))
+        self.assertThat(self.platform.requested, Equals([]))
 
     def test_start_waits_for_durable_state(self) -> None:
         """Without the durable state, a non-idempotent job is not started."""
         self.actions.add([_START])
         self.state.is_reachable = False
         self.assertThat(self._send(), Equals([]))
-        self.assertThat(self.platform.asked, Equals([]))
+        self.assertThat(self.platform.requested, Equals([]))
 
         self.state.is_reachable = True
         self._send()
-        self.assertThat(self.platform.asked, HasLength(1))
+        self.assertThat(self.platform.requested, HasLength(1))
 
     def test_checkpoint_precedes_stop(self) -> None:
         """A stop waits until its checkpoint is confirmed."""
@@ -122,7 +122,9 @@
         self.platform.is_lossy = False
         self._send()
 
-        kinds = [asked.split('/')[2] for asked in self.platform.asked]
+        kinds = [
+            action_id.split('/')[2] for action_id in self.platform.requested
+        ]
         self.assertThat(kinds, Equals(['checkpoint', 'checkpoint', 'stop']))
 
     def _actions(self) -> JobActions:
@@ -135,4 +137,4 @@
         )
 
     def _send(self) -> list[Any]:
-        return asyncio.run(self.actions.send(_ONCE))
+        return asyncio.run(self.actions.send(_NON_IDEMPOTENT))
