--- a/src/wigeonreach/lab/_day.py
+++ b/src/wigeonreach/lab/_day.py
@@ -53,7 +53,7 @@
     ----------
     faults_per_s
         Rate at which workers crash, become unreachable or slow down.
-    terms
+    leader_changes
         Number of leader changes, evenly spaced.
     """
 
--- a/src/wigeonreach/lab/_demand.py
+++ b/src/wigeonreach/lab/_demand.py
@@ -50,7 +50,7 @@
         Number of services; each has one queue and one pool.
     jobs_per_s
         Arrival rate of each queue during its peaks.
-    turn_s
+    peak_s
         Length of a peak; the queues peak one after the other.
     length_s
         Period during which jobs arrive.
--- a/src/wigeonreach/lab/_fleet.py
+++ b/src/wigeonreach/lab/_fleet.py
@@ -142,7 +142,7 @@
         return tuple(sorted({vm.rack for vm in self.vms.values()}))
 
     def vms_in_use(self) -> int:
-        """Return the number of VMs with a worker, which are the ones that cost."""
+        """Return the number of VMs with a worker; the others cost nothing."""
         return sum(vm.worker is not None for vm in self.vms.values())
 
     def running_workers(self) -> Iterator[tuple[Vm, StandInWorker]]:
