--- a/src/wigeonreach/lab/__init__.py
+++ b/src/wigeonreach/lab/__init__.py
@@ -1,7 +1,8 @@
-"""Play the scheduler against an emulated fleet, in virtual time.
+"""Simulate the scheduler against an emulated fleet, in virtual time.
 
-Policies are compared on generated days of seconds, many in a minute, where the
-real system takes a minute each.  Daemons do not import this package.
+Policies are compared on generated days of a few seconds each; many are
+simulated in a minute, where the real system takes a minute for each.  Daemons
+do not import this package.
 """
 
 from wigeonreach.lab._checks import (
@@ -11,7 +12,7 @@
 )
 from wigeonreach.lab._day import Day, DayPlan
 from wigeonreach.lab._demand import DemandPlan, KindShares
-from wigeonreach.lab._lead import VirtualLead, commit
+from wigeonreach.lab._virtual_leader import VirtualLead, commit
 from wigeonreach.lab._fleet import FleetPlan
 from wigeonreach.lab._outcome import Outcome
 from wigeonreach.lab._variants import VARIANTS, Variant, applied
--- a/src/wigeonreach/lab/_checks.py
+++ b/src/wigeonreach/lab/_checks.py
@@ -1,4 +1,4 @@
-"""Check, while a day is played, what must never happen."""
+"""Invariants that are checked while a day is simulated."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class BrokenRuleError(AssertionError):
-    """Something happened that must never happen."""
+    """An invariant of the scheduler was violated."""
 
 
 def check_start(order: StartOrder, store: JobStore) -> None:
@@ -22,49 +22,51 @@
     Raises
     ------
     BrokenRuleError
-        If its job has ended, its turn has not come or it failed too often.
+        If the job has ended, its step may not start yet, the run is not
+        recorded or the task has failed too often.
     """
-    wrong = _wrong_with(order, store)
+    wrong = _start_violation(order, store)
     if wrong:
         raise BrokenRuleError(f'{order.task}: {wrong}')
 
 
-def _wrong_with(order: StartOrder, store: JobStore) -> str:
-    """Return what is wrong with an order, or nothing."""
+def _start_violation(order: StartOrder, store: JobStore) -> str:
+    """Return which invariant an order violates, or an empty string."""
     key = order.task
     job = store.job_of(key)
     task = job.task(key) if job else None
     if job is None or task is None or not job.is_active:
         return 'started after its job ended'
     if not job.may_start(key.occurrence, key.step):
-        return 'started before its turn'
+        return 'started before its step may start'
     if order.run != task.run:
         return f'run {order.run} is not recorded'
     has_failed = task.failures >= job.queue.max_failures
     if has_failed and not job.step_spec(key).is_service:
-        return 'started too often'
+        return 'started after its last allowed failure'
     return ''
 
 
 def check_workers(workers: Iterable[StandInWorker], store: JobStore) -> None:
-    """Check what runs at one moment.
+    """Check the runs of all workers at one moment.
 
     Raises
     ------
     BrokenRuleError
-        If two runs of one task do, or more on a worker than it holds.
+        If two runs of a task are active that must not be, or the runs of a
+        worker exceed its capacity.
     """
     runs: collections.Counter[TaskKey] = collections.Counter()
     for worker in workers:
         runs.update(key for key, _ in worker.running)
-        _check_room(worker, store)
+        _check_capacity(worker, store)
     for key, count in runs.items():
         if count > 1 and not store.may_run_twice(key):
-            raise BrokenRuleError(f'{key}: {count} runs at once')
+            raise BrokenRuleError(f'{key}: {count} concurrent runs')
 
 
-def _check_room(worker: StandInWorker, store: JobStore) -> None:
+def _check_capacity(worker: StandInWorker, store: JobStore) -> None:
     specs = [store.spec_of(key) for key, _ in worker.running]
     needs = [spec.room for spec in specs if spec is not None]
     if not room_of(worker.last_report).holds(sum(needs, start=NO_ROOM)):
-        raise BrokenRuleError(f'{worker.vm}: over its capacity')
+        raise BrokenRuleError(f'{worker.vm}: runs exceed its capacity')
--- a/src/wigeonreach/lab/_demand.py
+++ b/src/wigeonreach/lab/_demand.py
@@ -1,4 +1,4 @@
-"""Draw the jobs of a day: turns of demand, kinds of steps, wrong estimates."""
+"""Random jobs of a day: demand peaks, kinds of steps, estimation errors."""
 
 from __future__ import annotations
 
@@ -10,25 +10,27 @@
 from wigeonreach.jobs import JobSpec, QueueSpec, ServiceSpec, StepSpec
 
 STANDBY = 'standby'
-# Of the usual rate, between the turns of a queue.
-_BETWEEN_TURNS = 0.05
+# Share of the peak rate at which jobs arrive outside a queue's peaks.
+_OFF_PEAK_RATIO = 0.05
 _MS = 1000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KindShares:
-    """Which part of the jobs is of each kind; one job may be of several.
+    """Share of jobs of each kind; a job may be of several kinds.
+
+    The field names are the names of the kinds.
 
     Attributes
     ----------
     near
-        Has its data near a rack.
+        The data of the job is on one rack.
     label
-        Needs a label that half of the VMs carry.
+        The job requires a label that half of the VMs have.
     copies
-        May run twice at a time.
+        Its tasks may run speculatively, two runs at a time.
     timed
-        Comes back some times.
+        The job recurs several times.
     """
 
     gang: float = 0.0
@@ -40,59 +42,61 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DemandPlan:
-    """What a day's callers ask for.
+    """Parameters of the load of one day.
 
     Attributes
     ----------
     services
-        Each has one queue and one pool.
+        Number of services; each has one queue and one pool.
     jobs_per_s
-        Of each queue in its turn.
-    turn_s
-        How long a turn lasts; the queues have theirs one after the other.
+        Arrival rate of each queue during its peaks.
+    peak_s
+        Length of a peak; the queues peak one after the other.
     length_s
-        How long jobs come.
-    width, lasts_s, millicores
-        Means of a step's tasks, of their time and of their processors.
+        Period during which jobs arrive.
+    tasks_per_step, duration_s, millicores
+        Means of a step's task count, and of its tasks' duration and CPU.
     estimate_error
-        A task takes from 1 less this to 1 plus this of what is declared.
-    serving
-        Serving tasks of each service.
+        The true duration is between 1 minus this and 1 plus this times the
+        estimate.
+    serving_tasks
+        Number of serving tasks of each service.
     """
 
     services: int = 4
     jobs_per_s: float = 18.0
-    turn_s: float = 4.0
+    peak_s: float = 4.0
     length_s: float = 32.0
-    width: float = 6.0
-    lasts_s: float = 0.8
+    tasks_per_step: float = 6.0
+    duration_s: float = 0.8
     millicores: int = 3500
     estimate_error: float = 0.5
-    serving: int = 5
+    serving_tasks: int = 5
     kinds: KindShares = KindShares()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Arrival:
-    """A job that comes at a time.
+    """A job and when it is submitted.
 
     Attributes
     ----------
     kind
-        What it is of, for tables.
-    lasts_s
-        True time of a task of each step, on a sound worker near its data.
+        Names of its kinds, as shown in tables.
+    durations_s
+        True duration of a task of each step, on a healthy worker near its
+        data.
     """
 
     at_s: float
     queue: str
     spec: JobSpec
     kind: str
-    lasts_s: tuple[float, ...]
+    durations_s: tuple[float, ...]
 
 
 def service_name(number: int) -> str:
-    """Return the name of a service, which is that of its queue too."""
+    """Return the name of a service, which is also that of its queue."""
     return f'service-{number}'
 
 
@@ -115,7 +119,7 @@
 
 
 def services(plan: DemandPlan) -> tuple[ServiceSpec, ...]:
-    """Return all services, and the pool whose VMs cost nothing."""
+    """Return all services, and the standby pool, whose VMs cost nothing."""
     serving = map(service_name, range(plan.services))
     return (
         *(ServiceSpec(name) for name in serving),
@@ -124,16 +128,16 @@
 
 
 class Demand:
-    """The arrivals of one day.
+    """Generator of the arrivals of one day.
 
     Parameters
     ----------
     plan
-        What is asked for.
+        Parameters of the load.
     racks, labels
-        Where data may lie, and what may be needed.
+        Racks that may hold data, and labels that jobs may require.
     seed
-        Of the day.
+        Seed of the day.
     """
 
     def __init__(
@@ -143,7 +147,7 @@
         labels: tuple[str, ...],
         seed: int,
     ) -> None:
-        """Draw nothing yet."""
+        """Seed the random generator."""
         self._plan = plan
         self._racks = racks
         self._labels = labels
@@ -151,7 +155,7 @@
         self._serial = 0
 
     def arrivals(self) -> list[Arrival]:
-        """Return all jobs of the day, the earliest in front."""
+        """Return all jobs of the day, earliest first."""
         found = [
             arrival
             for number in range(self._plan.services)
@@ -160,9 +164,9 @@
         return sorted(found, key=lambda arrival: arrival.at_s)
 
     def _serving(self, service: int) -> Iterator[Arrival]:
-        if self._plan.serving:
+        if self._plan.serving_tasks:
             step = StepSpec(
-                count=self._plan.serving,
+                count=self._plan.serving_tasks,
                 cpu_millicores=6000,
                 memory_mb=17_000,
                 estimate_ms=900,
@@ -178,9 +182,9 @@
             at_s += self._rng.expovariate(self._plan.jobs_per_s)
             if at_s > self._plan.length_s:
                 return
-            turn = int(at_s / self._plan.turn_s) % self._plan.services
-            is_turn = turn == service
-            if is_turn or self._rng.random() < _BETWEEN_TURNS:
+            peaking = int(at_s / self._plan.peak_s) % self._plan.services
+            is_peak = peaking == service
+            if is_peak or self._rng.random() < _OFF_PEAK_RATIO:
                 yield self._job(at_s, service)
 
     def _job(self, at_s: float, service: int) -> Arrival:
@@ -189,11 +193,11 @@
             self._step(number, kinds)
             for number in range(self._rng.choice((1, 1, 1, 2, 2, 3)))
         ]
-        lasts_s = tuple(
-            step.estimate_ms / _MS * self._error() for step in steps
+        durations_s = tuple(
+            step.estimate_ms / _MS * self._duration_factor() for step in steps
         )
         name = '+'.join(sorted(kinds)) or 'plain'
-        return self._arrival(at_s, service, tuple(steps), name, lasts_s)
+        return self._arrival(at_s, service, tuple(steps), name, durations_s)
 
     def _draw_kinds(self) -> set[str]:
         shares = dataclasses.asdict(self._plan.kinds)
@@ -205,10 +209,12 @@
         plan = self._plan
         rng = self._rng
         return StepSpec(
-            count=max(1, round(rng.lognormvariate(0, 0.6) * plan.width)),
+            count=max(
+                1, round(rng.lognormvariate(0, 0.6) * plan.tasks_per_step)
+            ),
             cpu_millicores=round(plan.millicores * rng.uniform(0.5, 1.5)),
             memory_mb=round(3600 * rng.uniform(0.5, 1.5)),
-            estimate_ms=round(plan.lasts_s * _MS * rng.uniform(0.5, 1.5)),
+            estimate_ms=round(plan.duration_s * _MS * rng.uniform(0.5, 1.5)),
             after=(number - 1,) if number else (),
             is_gang='gang' in kinds,
             label=rng.choice(self._labels) if 'label' in kinds else '',
@@ -216,7 +222,7 @@
             has_copies='copies' in kinds,
         )
 
-    def _error(self) -> float:
+    def _duration_factor(self) -> float:
         error = self._plan.estimate_error
         return self._rng.uniform(1 - error, 1 + error)
 
@@ -226,7 +232,7 @@
         service: int,
         steps: tuple[StepSpec, ...],
         kind: str,
-        lasts_s: tuple[float, ...],
+        durations_s: tuple[float, ...],
     ) -> Arrival:
         self._serial += 1
         job_id = f'{self._serial:016x}'
@@ -240,4 +246,4 @@
                 interval_ms=2000,
                 occurrences=4,
             )
-        return Arrival(at_s, service_name(service), spec, kind, lasts_s)
+        return Arrival(at_s, service_name(service), spec, kind, durations_s)
--- a/src/wigeonreach/manager/_core.py
+++ b/src/wigeonreach/manager/_core.py
@@ -1,4 +1,4 @@
-"""Turn what platform, text and operators say into steps of waves."""
+"""Decisions on maintenance waves, without I/O."""
 
 from __future__ import annotations
 
@@ -26,7 +26,10 @@
     WaveStatus,
 )
 from wigeonreach.manager._body import WaveBody, decode_body, encode_body
-from wigeonreach.manager._news import of_own_accord, on_its_way
+from wigeonreach.manager._vm_events import (
+    maintenance_reports,
+    unexpected_changes,
+)
 from wigeonreach.provider import VmPhase, VmView
 from wigeonreach.text import FleetText
 from wigeonreach.wire._command_messages import RecordWave
@@ -36,41 +39,42 @@
 _COMMANDS: Mapping[str, _Command] = MappingProxyType(
     {'paused': PauseWave, 'running': ResumeWave, 'stopped': StopWave},
 )
-# What brings a VM back that a wave has ended with.
-_LAST_EFFECTS = MappingProxyType(
+# The action that returns a VM to service once its wave is done with it, by
+# the phase that the platform reports and the phase that the wave recorded.
+_FINAL_EFFECTS = MappingProxyType(
     {
         (VmPhase.BOOTED, Phase.MAINTAINED): EffectKind.RESTORE,
         (VmPhase.DRAINING, Phase.SKIPPED): EffectKind.UNDRAIN,
         (VmPhase.DRAINING, Phase.WAITING): EffectKind.UNDRAIN,
     },
 )
-_RESTING = frozenset((WaveStatus.PAUSED, WaveStatus.HALTED))
+_PAUSED_STATUSES = frozenset((WaveStatus.PAUSED, WaveStatus.HALTED))
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Plan:
-    """What to record first and then to ask of the platform."""
+    """Records to write, then effects to request from the platform."""
 
     records: tuple[RecordWave, ...]
     effects: tuple[WaveEffect, ...]
 
 
 class ManagerCore:
-    """Everything that one manager decides; no I/O.
+    """Decision logic of one manager; performs no I/O.
 
-    It is built anew from the durable state when the text changes, after a
-    restart, and when another manager was found to have written.
+    It is rebuilt from the durable state when the configuration changes,
+    after a restart, and when another manager is found to have written.
 
     Parameters
     ----------
     text
-        The text in force.
+        The fleet configuration in force.
     settings
         Limits of waves.
     """
 
     def __init__(self, text: FleetText, settings: WaveSettings) -> None:
-        """Know no VM and no wave yet."""
+        """Start with no known VM or wave."""
         watched = frozenset(
             service.pool
             for service in text.services.values()
@@ -89,8 +93,9 @@
         self._records: dict[str, WaveRecord] = {}
         self._bodies: dict[str, WaveBody] = {}
         self._effects: list[WaveEffect] = []
-        # What does not serve is looked at each time: news may get lost.
-        self._absent: dict[str, VmView] = {}
+        # VMs that are not serving are examined in every step, because the
+        # events derived from a change may be lost.
+        self._not_serving: dict[str, VmView] = {}
 
     def step(
         self,
@@ -98,42 +103,42 @@
         records: Sequence[WaveRecord],
         now_s: float,
     ) -> Plan:
-        """Take in what changed and decide.
+        """Apply changes and decide what to do next.
 
         Parameters
         ----------
         vms
             VMs that changed.
         records
-            All waves, as the durable state has them.
+            All waves in the durable state.
         now_s
             Unix time, in seconds.
 
         Returns
         -------
         Plan
-            What is to be recorded, and done once that is recorded.
+            Records to write, and effects to request once they are written.
         """
         for view in vms:
-            self._know(view)
+            self._register_vm(view)
         for record in records:
-            self._steer(record, now_s)
-        for view in tuple(self._absent.values()):
+            self._apply_record(record, now_s)
+        for view in tuple(self._not_serving.values()):
             self._observe(view, now_s)
             if view.phase is VmPhase.SERVING:
-                self._absent.pop(view.name)
+                self._not_serving.pop(view.name)
         self._effects.extend(self._planner.handle(Tick(), now_s))
         effects = tuple(self._effects)
         self._effects.clear()
-        return Plan(tuple(self._changes()), effects)
+        return Plan(tuple(self._changed_records()), effects)
 
-    def recorded(self, wave_id: str, version: int) -> None:
-        """Note that the durable state took a record."""
+    def note_recorded(self, wave_id: str, version: int) -> None:
+        """Set the new version of a record that the durable state accepted."""
         record = self._records[wave_id]
         self._records[wave_id] = _with_version(record, version)
 
-    def _know(self, view: VmView) -> None:
-        self._absent[view.name] = view
+    def _register_vm(self, view: VmView) -> None:
+        self._not_serving[view.name] = view
         pool = self._pool_of.get(view.name)
         if pool is not None and self._inventory.find(view.name) is None:
             self._inventory.put(
@@ -149,19 +154,19 @@
                 )
             )
 
-    def _steer(self, record: WaveRecord, now_s: float) -> None:
+    def _apply_record(self, record: WaveRecord, now_s: float) -> None:
         wave_id = record.wave_id
         before = self._records.get(wave_id)
         if before is None:
             body = decode_body(record.body)
             if _is_over(record, body):
                 return
-            self._take_up(record, body, now_s)
+            self._start_or_restore(record, body, now_s)
         self._records[wave_id] = record
         if before is None or before.phase != record.phase:
-            self._command(record, now_s)
+            self._send_command(record, now_s)
 
-    def _take_up(
+    def _start_or_restore(
         self,
         record: WaveRecord,
         body: WaveBody,
@@ -175,19 +180,20 @@
         vms = tuple(
             vm.name
             for vm in self._inventory
-            if not self._inventory.is_watched(vm.pool) and _is_meant(vm, body)
+            if not self._inventory.is_watched(vm.pool)
+            and _is_selected(vm, body)
         )
         start = StartWave(record.wave_id, record.wave_id, vms)
         if record.phase == 'running':
             self._effects.extend(self._planner.handle(start, now_s))
 
-    def _command(self, record: WaveRecord, now_s: float) -> None:
+    def _send_command(self, record: WaveRecord, now_s: float) -> None:
         wave = self._planner.waves.get(record.wave_id)
         kind = _COMMANDS.get(record.phase)
         if kind is None:
             return
-        is_resting = wave is not None and wave.status in _RESTING
-        if kind is ResumeWave and not is_resting:
+        is_paused = wave is not None and wave.status in _PAUSED_STATUSES
+        if kind is ResumeWave and not is_paused:
             return
         command_id = f'{record.phase}@{record.version}'
         command = kind(command_id, record.wave_id)
@@ -198,24 +204,25 @@
         if vm is None:
             return
         if self._planner.is_busy(view.name):
-            # Of the platform's accord, or of the attempt that is running.
-            is_news = view.phase is VmPhase.DOWN or self._is_current(view)
-            messages = on_its_way(view) if is_news else ()
+            # Only a failure of the VM or the result of the current attempt
+            # matters; results of earlier attempts are ignored.
+            is_relevant = view.phase is VmPhase.DOWN or self._is_current(view)
+            messages = maintenance_reports(view) if is_relevant else ()
         else:
-            messages = of_own_accord(vm, view)
-            self._effects.extend(self._left_behind(view))
+            messages = unexpected_changes(vm, view)
+            self._effects.extend(self._resend_final_action(view))
         for message in messages:
             self._effects.extend(self._planner.handle(message, now_s))
 
-    def _left_behind(self, view: VmView) -> Iterable[WaveEffect]:
-        """Send a last action again that the platform seems to have lost."""
+    def _resend_final_action(self, view: VmView) -> Iterable[WaveEffect]:
+        """Resend a final action that the platform seems to have lost."""
         operation_id, _, _ = view.action_id.rpartition('/')
         track = self._track(operation_id)
         if track is None:
             return
-        wanted = _LAST_EFFECTS.get((view.phase, track.phase))
-        if wanted is not None:
-            yield WaveEffect(wanted, view.name, operation_id)
+        kind = _FINAL_EFFECTS.get((view.phase, track.phase))
+        if kind is not None:
+            yield WaveEffect(kind, view.name, operation_id)
 
     def _is_current(self, view: VmView) -> bool:
         operation_id, _, _ = view.action_id.rpartition('/')
@@ -228,7 +235,7 @@
         wave = self._planner.waves.get(wave_id)
         return wave.tracks.get(rest) if wave else None
 
-    def _changes(self) -> Iterable[RecordWave]:
+    def _changed_records(self) -> Iterable[RecordWave]:
         for wave_id, record in self._records.items():
             wave = self._planner.waves.get(wave_id)
             body = self._bodies.get(wave_id)
@@ -239,7 +246,7 @@
                 body.pools,
                 body.zones,
                 after,
-                self._waits_for(wave_id, after),
+                self._waiting_reason(wave_id, after),
             )
             event = _event_for(record.phase, after.status)
             if changed != body or event:
@@ -251,7 +258,7 @@
                     event,
                 )
 
-    def _waits_for(self, wave_id: str, state: WaveState) -> str:
+    def _waiting_reason(self, wave_id: str, state: WaveState) -> str:
         if state.reason:
             return state.reason
         verdict = self._planner.last_refusals.get(wave_id)
@@ -263,7 +270,7 @@
         return f'{verdict.refusal} of {verdict.subject}'
 
 
-def _is_meant(vm: Vm, body: WaveBody) -> bool:
+def _is_selected(vm: Vm, body: WaveBody) -> bool:
     is_pool = not body.pools or vm.pool in body.pools
     return is_pool and (not body.zones or vm.zone in body.zones)
 
@@ -275,7 +282,7 @@
         return False
     if body.state is None:
         return True
-    # A stop lets reboots finish, so these are still followed.
+    # Reboots in progress finish after a stop, so the wave is still tracked.
     return all(track.phase.is_final for track in body.state.tracks)
 
 
--- a/src/wigeonreach/manager/_daemon.py
+++ b/src/wigeonreach/manager/_daemon.py
@@ -1,4 +1,4 @@
-"""Carry out waves against the platform while holding the lease."""
+"""Manager daemon: runs maintenance waves while it holds the lease."""
 
 from __future__ import annotations
 
@@ -29,18 +29,18 @@
 
 
 class Manager(mode.Service):
-    """One zone's manager; of all of them, the lease's holder decides.
+    """Manager of one zone; the one that holds the lease runs the waves.
 
     Parameters
     ----------
     settings
-        Who this manager is.
+        Identity, peers and intervals of this manager.
     logger
-        Where events are logged.
+        Logger for events.
     """
 
     def __init__(self, settings: ManagerSettings, logger: Logger) -> None:
-        """Build the parts; nothing is asked before ``start``."""
+        """Create the components; no request is sent before ``start``."""
         super().__init__()
         self._settings = settings
         self._log = logger
@@ -71,7 +71,7 @@
         self._runner: web.AppRunner | None = None
 
     async def on_start(self) -> None:
-        """Follow the text and listen for HTTP."""
+        """Subscribe to the configuration and listen for HTTP requests."""
         await self.add_runtime_dependency(self._config)
         await self._platform.open()
         await self.add_runtime_dependency(self._placer)
@@ -86,7 +86,7 @@
         await web.TCPSite(self._runner, address.host, address.port).start()
 
     async def drain(self) -> None:
-        """Give the lease up, so that another manager goes on at once."""
+        """Release the lease, so that another manager can take over at once."""
         try:
             await self._lease.release()
         except StateError:
@@ -102,19 +102,19 @@
     async def _run(self) -> None:
         while not self.should_stop:
             try:
-                await self._round()
+                await self._run_round()
             except (PlatformError, StateError, WireError) as error:
-                # Nothing is lost: what was decided is recorded first.
-                self._forget(error.code)
+                # No decision is lost: each is recorded before it takes effect.
+                self._handle_failure(error.code)
             await self.sleep(self._settings.poll_s)
 
-    async def _round(self) -> None:
+    async def _run_round(self) -> None:
         text = self._config.text
-        had_token = self._lease.token
+        previous_token = self._lease.token
         if text is None or not await self._lease.ensure():
             self._core = None
             return
-        if self._lease.token != had_token:
+        if self._lease.token != previous_token:
             self._log.info(LogEvent.LEASE_HELD, token=self._lease.token)
             self._core = None
         if self._core is None or self._version != self._config.version:
@@ -123,10 +123,10 @@
             self._revision = 0
         page = await self._platform.list_vms(self._revision)
         waves = await self._state.read(ReadWaves(), Waves)
-        await self._carry_out(page.vms, waves)
+        await self._execute(page.vms, waves)
         self._revision = page.revision
 
-    async def _carry_out(
+    async def _execute(
         self,
         vms: tuple[VmView, ...],
         waves: Waves,
@@ -135,12 +135,14 @@
         if core is None:
             return
         plan = core.step(vms, waves.waves, time.time())
-        await self._record(core, plan)
+        await self._record_changes(core, plan)
         if not self._lease.is_held:
             raise StateError(ResultCode.STATE_NOT_HELD, LEASE_NAME)
-        await asyncio.gather(*(self._act(effect) for effect in plan.effects))
+        await asyncio.gather(
+            *(self._send_action(effect) for effect in plan.effects)
+        )
 
-    async def _record(self, core: ManagerCore, plan: Plan) -> None:
+    async def _record_changes(self, core: ManagerCore, plan: Plan) -> None:
         for record in plan.records:
             action = msgspec.structs.replace(
                 record,
@@ -150,7 +152,7 @@
             reply = await self._state.submit(action)
             if reply.code != ResultCode.OK:
                 raise StateError(ResultCode(reply.code), reply.detail)
-            core.recorded(record.wave_id, reply.version)
+            core.note_recorded(record.wave_id, reply.version)
             if record.event:
                 self._log.info(
                     LogEvent.WAVE_CHANGED,
@@ -158,7 +160,7 @@
                     change=record.event,
                 )
 
-    async def _act(self, effect: WaveEffect) -> None:
+    async def _send_action(self, effect: WaveEffect) -> None:
         action = VmAction(
             ActionKind(effect.kind.value),
             effect.vm,
@@ -169,7 +171,8 @@
         try:
             await self._platform.act(action)
         except PlatformError as error:
-            # Its effect is read back, and it is sent again under the same id.
+            # The outcome is read from the VM list; the action is resent with
+            # the same id if it had no effect.
             self._log.warning(
                 LogEvent.PLATFORM_FAULT,
                 vm=effect.vm,
@@ -177,10 +180,10 @@
                 code=int(error.code),
             )
 
-    def _forget(self, code: ResultCode) -> None:
+    def _handle_failure(self, code: ResultCode) -> None:
         self._metrics.count('manager_rounds_failed', code.name.lower())
         self._log.warning(LogEvent.ROUND_FAILED, code=int(code))
-        if code not in _PASSING_FAULTS:
+        if code not in _TRANSIENT_FAULTS:
             self._core = None
 
     async def _on_health(self, _request: web.Request) -> web.Response:
@@ -196,7 +199,8 @@
         return web.Response(text=self._metrics.page())
 
 
-# A list that could not be read changes nothing that was decided.
-_PASSING_FAULTS = frozenset(
+# After these errors, which only mean that the VMs could not be listed, the
+# decisions in memory are still valid.
+_TRANSIENT_FAULTS = frozenset(
     (ResultCode.PLATFORM_UNREACHABLE, ResultCode.PLATFORM_ANSWER_WRONG),
 )
--- a/src/wigeonreach/manager/_job_actions.py
+++ b/src/wigeonreach/manager/_job_actions.py
@@ -1,4 +1,4 @@
-"""Do on the platform what placement decided, each action once."""
+"""Request task actions from the platform, each with effect at most once."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 from wigeonreach.state import StateAccess
 from wigeonreach.wire._command_messages import AcquireLease
 
-# A claim is for ever: nobody may start the job again.
-_FOREVER_S = 10 * 365 * 86_400.0
+# Ten years: a claim must never expire, or the job could be started again.
+_CLAIM_DURATION_S = 10 * 365 * 86_400.0
 _FIRST_TOKEN = 1
 
 
 class _Claim(enum.Enum):
-    """What became of the claim to start a non-idempotent job."""
+    """Result of claiming the start of a non-idempotent job."""
 
     GRANTED = 1
     REFUSED = 2
@@ -39,16 +39,16 @@
 
 
 class JobActions:
-    """Actions that are due, sent until the platform confirms them.
+    """Pending actions, resent until the platform confirms them.
 
     Parameters
     ----------
     holder
         Name of the manager.
     platform, state
-        Who is asked.
+        Services to which actions and claims are sent.
     metrics, logger
-        Where refusals are counted and logged.
+        For actions sent and jobs not run.
     """
 
     def __init__(
@@ -59,54 +59,58 @@
         metrics: Metrics,
         logger: Logger,
     ) -> None:
-        """Start with nothing due."""
+        """Start with no pending action."""
         self._holder = holder
         self._platform = platform
         self._state = state
         self._metrics = metrics
         self._log = logger
-        self._due: dict[str, TaskAction] = {}
+        self._pending: dict[str, TaskAction] = {}
 
     def add(self, effects: Iterable[Effect]) -> None:
-        """Note what placement decided."""
+        """Queue the actions of placement effects."""
         for effect in effects:
-            self._tell(effect)
+            self._report(effect)
             for action in _actions(effect):
-                self._due[action.action_id] = action
+                self._pending[action.action_id] = action
 
-    async def send(self, once: frozenset[str]) -> list[TaskChanged]:
-        """Send what is due.
+    async def send(self, non_idempotent: frozenset[str]) -> list[TaskChanged]:
+        """Send all pending actions.
 
         Parameters
         ----------
-        once
-            Ids of non-idempotent jobs.
+        non_idempotent
+            Ids of non-idempotent jobs, which must be started at most once.
 
         Returns
         -------
         list of TaskChanged
-            Ends of jobs that must not be started.
+            Failures of jobs whose start was claimed before.
         """
         by_worker: dict[str, list[TaskAction]] = {}
-        for action in self._due.values():
+        for action in self._pending.values():
             by_worker.setdefault(action.worker, []).append(action)
         ends = await asyncio.gather(
-            *(self._send_all(actions, once) for actions in by_worker.values()),
+            *(
+                self._send_to_worker(actions, non_idempotent)
+                for actions in by_worker.values()
+            ),
         )
-        return [end for some in ends for end in some]
+        return [end for worker_ends in ends for end in worker_ends]
 
-    async def _send_all(
+    async def _send_to_worker(
         self,
         actions: list[TaskAction],
-        once: frozenset[str],
+        non_idempotent: frozenset[str],
     ) -> list[TaskChanged]:
         ends: list[TaskChanged] = []
-        # Room is made before it is used: the order within a worker counts.
+        # Actions of one worker keep their order, because a stop frees the
+        # resources that a later start needs.
         for action in actions:
-            claim = await self._claim_for(action, once)
+            claim = await self._claim_for(action, non_idempotent)
             if claim is _Claim.REFUSED:
-                self._due.pop(action.action_id)
-                ends.append(_may_have_run(action))
+                self._pending.pop(action.action_id)
+                ends.append(_possible_run(action))
             elif claim is _Claim.UNKNOWN or not await self._send(action):
                 break
         return ends
@@ -114,18 +118,18 @@
     async def _claim_for(
         self,
         action: TaskAction,
-        once: frozenset[str],
+        non_idempotent: frozenset[str],
     ) -> _Claim:
-        if action.kind is ActionKind.START and action.job_id in once:
+        if action.kind is ActionKind.START and action.job_id in non_idempotent:
             return await self._claim(action)
         return _Claim.GRANTED
 
     async def _claim(self, action: TaskAction) -> _Claim:
-        """Claim a job durably, so that nobody starts it again."""
+        """Record a durable claim, so that the job is never started twice."""
         claim = AcquireLease(
             f'job/{action.job_id}',
             self._holder,
-            _FOREVER_S,
+            _CLAIM_DURATION_S,
         )
         try:
             reply = await self._state.submit(claim, f'job/{action.action_id}')
@@ -141,12 +145,12 @@
             await self._platform.act(action)
         except PlatformError as error:
             if error.code is ResultCode.PLATFORM_FENCED:
-                self._due.pop(action.action_id)
+                self._pending.pop(action.action_id)
             return False
-        self._due.pop(action.action_id)
+        self._pending.pop(action.action_id)
         return True
 
-    def _tell(self, effect: Effect) -> None:
+    def _report(self, effect: Effect) -> None:
         if isinstance(effect, SetAside):
             event = LogEvent.JOB_SET_ASIDE
         elif isinstance(effect, ReportRun):
@@ -157,13 +161,13 @@
         self._log.warning(event, job=effect.job_id, reason=effect.reason.value)
 
 
-def _may_have_run(action: TaskAction) -> TaskChanged:
+def _possible_run(action: TaskAction) -> TaskChanged:
     return TaskChanged(action.job_id, action.lease_token, TaskEnd.FAILED)
 
 
 @functools.singledispatch
 def _actions(effect: Effect) -> Iterator[TaskAction]:
-    """Yield what the platform is to be asked for."""
+    """Yield the platform actions that an effect requires."""
     yield from iter(())
 
 
--- a/src/wigeonreach/provider/_client.py
+++ b/src/wigeonreach/provider/_client.py
@@ -1,4 +1,4 @@
-"""Ask the platform over HTTP and trust no answer unchecked."""
+"""HTTP client of the platform; every response is validated."""
 
 from __future__ import annotations
 
@@ -22,29 +22,29 @@
     VmPage,
 )
 from wigeonreach.provider._schema import (
-    DoneSchema,
+    ActionSchema,
     TasksSchema,
     VmPageSchema,
 )
 
 _TIMEOUT_S = 2.0
-_MAX_ANSWER_BYTES = 32 * 1024 * 1024
+_MAX_RESPONSE_BYTES = 32 * 1024 * 1024
 _FENCED_STATUS = 409
 _ERROR_STATUS = 400
-_Schema = TypeVar('_Schema', VmPageSchema, TasksSchema, DoneSchema)
+_Schema = TypeVar('_Schema', VmPageSchema, TasksSchema, ActionSchema)
 
 
 class PlatformClient:
-    """The platform behind a base URL.
+    """Client of the platform at a base URL.
 
     Parameters
     ----------
     url
-        Where it answers, such as ``http://127.0.0.1:9000``.
+        Base URL, such as ``http://127.0.0.1:9000``.
     metrics
-        Where refusals and faults are counted.
+        Counts refusals and errors.
     timeout_s
-        After this time an answer is late and not waited for.
+        Timeout of each request, in seconds.
     """
 
     def __init__(
@@ -53,14 +53,14 @@
         metrics: Metrics,
         timeout_s: float = _TIMEOUT_S,
     ) -> None:
-        """Connect to nothing yet."""
+        """Prepare; the session is created by ``open``."""
         self._url = url.rstrip('/')
         self._metrics = metrics
         self._timeout = aiohttp.ClientTimeout(total=timeout_s)
         self._session: aiohttp.ClientSession | None = None
 
     async def open(self) -> None:
-        """Be ready to ask; call inside a running loop."""
+        """Create the session; requires a running event loop."""
         self._session = aiohttp.ClientSession(timeout=self._timeout)
 
     async def close(self) -> None:
@@ -71,39 +71,41 @@
     async def list_vms(self, after_revision: int) -> VmPage:
         """Return the VMs that changed after a revision; 0 for all."""
         path = f'/v1/vms?after={after_revision}'
-        answer = await self._ask('GET', path, VmPageSchema)
-        return answer.page()
+        response = await self._request('GET', path, VmPageSchema)
+        return response.page()
 
     async def list_tasks(self, worker: str) -> tuple[TaskView, ...]:
-        """Return the tasks of a worker with their lagging usage."""
+        """Return the tasks of a worker; their usage lags behind."""
         path = f'/v1/workers/{worker}/tasks'
-        answer = await self._ask('GET', path, TasksSchema)
-        if any(task.worker != worker for task in answer.tasks):
-            raise self._fault(
+        response = await self._request('GET', path, TasksSchema)
+        if any(task.worker != worker for task in response.tasks):
+            raise self._counted_error(
                 ResultCode.PLATFORM_ANSWER_WRONG,
                 f'tasks of another worker than {worker}',
             )
-        return tuple(task.view() for task in answer.tasks)
+        return tuple(task.view() for task in response.tasks)
 
     async def act(self, action: Action) -> None:
-        """Ask for an action; its effect shows in the lists.
+        """Request an action; its effect shows in later lists.
 
         Raises
         ------
         PlatformError
-            If the platform refused, or what it did is not known.
+            If the platform refused, or the outcome is unknown.
         """
         body = msgspec.json.encode(action)
-        answer = await self._ask('POST', _path(action), DoneSchema, body)
+        response = await self._request(
+            'POST', _path(action), ActionSchema, body
+        )
         expected = (action.action_id, _subject(action))
-        if (answer.action_id, answer.subject) != expected:
-            raise self._fault(
+        if (response.action_id, response.subject) != expected:
+            raise self._counted_error(
                 ResultCode.PLATFORM_ANSWER_WRONG,
-                f'{answer.action_id} on {answer.subject}, '
-                f'wanted: {action.action_id}',
+                f'{response.action_id} on {response.subject}, '
+                f'expected: {action.action_id}',
             )
 
-    async def _ask(
+    async def _request(
         self,
         method: str,
         path: str,
@@ -111,28 +113,28 @@
         body: bytes | None = None,
     ) -> _Schema:
         request_id = uuid.uuid4().hex
-        raw = await self._exchange(
+        raw = await self._send(
             method,
             path,
             body,
             {'X-Request-Id': request_id},
         )
         try:
-            answer = schema.model_validate_json(raw)
+            response = schema.model_validate_json(raw)
         except pydantic.ValidationError as error:
-            raise self._fault(
+            raise self._counted_error(
                 ResultCode.PLATFORM_ANSWER_WRONG,
-                f'{path}: {error.error_count()} faults',
+                f'{path}: {error.error_count()} validation errors',
             ) from error
-        if answer.request_id != request_id:
-            # A late answer to an earlier request, or one to somebody else.
-            raise self._fault(
+        if response.request_id != request_id:
+            # A late response to an earlier request, or another client's.
+            raise self._counted_error(
                 ResultCode.PLATFORM_ANSWER_WRONG,
-                f'{path}: the answer belongs to another request',
+                f'{path}: the response belongs to another request',
             )
-        return answer
+        return response
 
-    async def _exchange(
+    async def _send(
         self,
         method: str,
         path: str,
@@ -140,22 +142,24 @@
         headers: Mapping[str, str],
     ) -> bytes:
         if self._session is None:
-            raise self._fault(ResultCode.PLATFORM_UNREACHABLE, 'not open')
+            raise self._counted_error(
+                ResultCode.PLATFORM_UNREACHABLE, 'the client is not open'
+            )
         url = f'{self._url}{path}'
         try:
             async with self._session.request(
                 method, url, data=body, headers=headers
             ) as response:
-                raw = await response.content.read(_MAX_ANSWER_BYTES)
+                raw = await response.content.read(_MAX_RESPONSE_BYTES)
                 status = response.status
         except (aiohttp.ClientError, OSError, TimeoutError) as error:
-            raise self._fault(
+            raise self._counted_error(
                 ResultCode.PLATFORM_UNREACHABLE,
                 f'{path}: {error!r}',
             ) from error
         if status >= _ERROR_STATUS:
             is_fenced = status == _FENCED_STATUS
-            raise self._fault(
+            raise self._counted_error(
                 ResultCode.PLATFORM_FENCED
                 if is_fenced
                 else ResultCode.PLATFORM_REFUSED,
@@ -163,7 +167,7 @@
             )
         return raw
 
-    def _fault(self, code: ResultCode, detail: str) -> PlatformError:
+    def _counted_error(self, code: ResultCode, detail: str) -> PlatformError:
         self._metrics.count('platform_faults', code.name.lower())
         return PlatformError(code, detail)
 
--- a/src/wigeonreach/standins/_platform.py
+++ b/src/wigeonreach/standins/_platform.py
@@ -1,4 +1,4 @@
-"""Stand in for the platform that owns the workers and VMs."""
+"""Stand-in for the platform that owns the workers and VMs."""
 
 from __future__ import annotations
 
@@ -26,13 +26,15 @@
 _Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 _BadImages = Annotated[
     list[str],
-    typer.Option('--bad-image', help='VM that never is healthy again.'),
+    typer.Option(
+        '--bad-image', help='VM that is never healthy after a reboot.'
+    ),
 ]
 _Ratio = Annotated[float, typer.Option(min=0, max=1)]
 
 
-class Faults(msgspec.Struct, frozen=True):
-    """How often an answer is late, lost, wrong, or a request done twice."""
+class FaultRatios(msgspec.Struct, frozen=True):
+    """Share of responses late, lost or wrong, and of requests done twice."""
 
     late_ratio: float
     lost_ratio: float
@@ -57,14 +59,14 @@
     wrong_ratio: _Ratio = 0,
     seed: int = 1,
 ) -> None:
-    """List VMs and tasks and act on them, with faults on demand."""
+    """Serve the API of the platform, optionally with injected faults."""
     fleet = Fleet(
         new_vms(zones, vms_per_zone, vms_per_rack),
         Timing(drain_s, reboot_s, check_s, task_s),
         frozenset(bad_images),
         action_log,
     )
-    faults = Faults(late_ratio, lost_ratio, doubled_ratio, wrong_ratio)
+    faults = FaultRatios(late_ratio, lost_ratio, doubled_ratio, wrong_ratio)
     application = build_application(fleet, faults, seed)
     host, _, port = http.rpartition(':')
     web.run_app(application, host=host, port=int(port), print=None)
@@ -72,20 +74,20 @@
 
 def build_application(
     fleet: Fleet,
-    faults: Faults,
+    faults: FaultRatios,
     seed: int,
 ) -> web.Application:
     """Return the platform's HTTP interface over a fleet."""
     rng = random.Random(seed)  # noqa: S311 - faults are no secret
 
     @web.middleware
-    async def misbehave(  # noqa: WPS430 - aiohttp wants a function
+    async def with_faults(  # noqa: WPS430 - aiohttp wants a function
         request: web.Request,
         handler: _Handler,
     ) -> web.StreamResponse:
-        return await _misbehave(request, handler, faults, rng)
+        return await _inject_faults(request, handler, faults, rng)
 
-    application = web.Application(middlewares=[misbehave])
+    application = web.Application(middlewares=[with_faults])
     application[_FLEET] = fleet
     application.router.add_get('/v1/vms', _on_list)
     application.router.add_post('/v1/vms/{name}/actions', _on_vm_action)
@@ -94,10 +96,10 @@
     return application
 
 
-async def _misbehave(
+async def _inject_faults(
     request: web.Request,
     handler: _Handler,
-    faults: Faults,
+    faults: FaultRatios,
     rng: random.Random,
 ) -> web.StreamResponse:
     answer = await handler(request)
@@ -139,7 +141,7 @@
         request.app[_FLEET].act(action)
     except FencedError as error:
         raise web.HTTPConflict from error
-    return _done(request, action.action_id, action.vm)
+    return _acknowledge(request, action.action_id, action.vm)
 
 
 async def _on_task_action(request: web.Request) -> web.Response:
@@ -148,10 +150,12 @@
         request.app[_FLEET].act_on_task(action)
     except FencedError as error:
         raise web.HTTPConflict from error
-    return _done(request, action.action_id, action.job_id)
+    return _acknowledge(request, action.action_id, action.job_id)
 
 
-def _done(request: web.Request, action_id: str, subject: str) -> web.Response:
+def _acknowledge(
+    request: web.Request, action_id: str, subject: str
+) -> web.Response:
     return _json(
         {
             'request_id': request.headers.get('X-Request-Id', ''),
--- a/tests/manager/test_job_actions.py
+++ b/tests/manager/test_job_actions.py
@@ -1,4 +1,4 @@
-"""Test that a claim stands before each start of a non-idempotent job."""
+"""Test that a non-idempotent job is claimed before it is started."""
 
 from __future__ import annotations
 
@@ -17,21 +17,21 @@
 from wigeonreach.wire._command_messages import Reply
 
 _START = StartTask('bill', 'vm-0', 7, 30)
-_ONCE = frozenset(('bill',))
+_NON_IDEMPOTENT = frozenset(('bill',))
 
 
 class _State:
-    """Grants leases from memory, or can't be reached."""
+    """Fake durable state: grants leases, or is unreachable."""
 
     def __init__(self) -> None:
-        """Start with no claim."""
+        """Start without claims."""
         self.claims: list[str] = []
         self.is_reachable = True
 
     async def submit(
         self, _action: Any, command_id: str | None = None
     ) -> Reply:
-        """Grant; a resent command gets its first reply."""
+        """Grant a lease; a resent command gets its first reply."""
         if not self.is_reachable:
             raise StateError(ResultCode.STATE_NO_QUORUM, 'cut off')
         assert command_id is not None
@@ -41,45 +41,45 @@
         return Reply(0, '', 1, token=token)
 
     async def read(self, *_arguments: Any, **_options: Any) -> Any:
-        """Answer nothing."""
+        """Not used by these tests."""
         raise NotImplementedError
 
 
 class _Platform:
-    """Notes what it is asked, or loses the answer."""
+    """Fake platform: records requested actions, or loses the response."""
 
     def __init__(self) -> None:
-        """Start with nothing asked."""
-        self.asked: list[str] = []
+        """Start without requested actions."""
+        self.requested: list[str] = []
         self.is_lossy = False
 
     async def act(self, action: Action) -> None:
-        """Note the action."""
-        self.asked.append(action.action_id)
+        """Record the action."""
+        self.requested.append(action.action_id)
         if self.is_lossy:
             raise PlatformError(ResultCode.PLATFORM_UNREACHABLE, 'lost')
 
     async def list_vms(self, _after_revision: int) -> VmPage:
-        """Answer nothing."""
+        """Not used by these tests."""
         raise NotImplementedError
 
     async def list_tasks(self, _worker: str) -> tuple[TaskView, ...]:
-        """Answer nothing."""
+        """Not used by these tests."""
         raise NotImplementedError
 
 
 class TestJobActions(testtools.TestCase):
-    """Claims, resends and their order."""
+    """Claims, resends and the order of actions."""
 
     def setUp(self) -> None:
-        """Put the actions between a state and a platform."""
+        """Connect the actions to a fake state and a fake platform."""
         super().setUp()
         self.state = _State()
         self.platform = _Platform()
         self.actions = self._actions()
 
-    def test_lost_answer(self) -> None:
-        """A start whose answer is lost is resent under one claim."""
+    def test_lost_response(self) -> None:
+        """A start whose response is lost is resent under the same claim."""
         self.actions.add([_START])
         self.platform.is_lossy = True
         self._send()
@@ -88,41 +88,43 @@
         self._send()
 
         self.assertThat(
-            self.platform.asked,
+            self.platform.requested,
             Equals(['bill/7/start/1', 'bill/7/start/1']),
         )
         self.assertThat(self.state.claims, HasLength(1))
 
-    def test_claimed_before(self) -> None:
-        """A job that was claimed before is ended and never started."""
+    def test_claimed_job_is_not_started(self) -> None:
+        """A job that was claimed earlier fails and is not started."""
         self.state.claims.append('job/bill/3/start/1')
         self.actions.add([_START])
 
         ends = self._send()
 
         self.assertThat([end.change for end in ends], Equals([TaskEnd.FAILED]))
-        self.assertThat(self.platform.asked, Equals([]))
+        self.assertThat(self.platform.requested, Equals([]))
 
-    def test_claim_unknown(self) -> None:
-        """Without the durable state a billing run waits."""
+    def test_start_waits_for_durable_state(self) -> None:
+        """Without the durable state, a non-idempotent job is not started."""
         self.actions.add([_START])
         self.state.is_reachable = False
         self.assertThat(self._send(), Equals([]))
-        self.assertThat(self.platform.asked, Equals([]))
+        self.assertThat(self.platform.requested, Equals([]))
 
         self.state.is_reachable = True
         self._send()
-        self.assertThat(self.platform.asked, HasLength(1))
+        self.assertThat(self.platform.requested, HasLength(1))
 
-    def test_checkpoint_first(self) -> None:
-        """A checkpoint goes before its stop, and a lost one holds it back."""
+    def test_checkpoint_precedes_stop(self) -> None:
+        """A stop waits until its checkpoint is confirmed."""
         self.actions.add([StopTask('job', 'vm-0', 8, with_checkpoint=True)])
         self.platform.is_lossy = True
         self._send()
         self.platform.is_lossy = False
         self._send()
 
-        kinds = [asked.split('/')[2] for asked in self.platform.asked]
+        kinds = [
+            action_id.split('/')[2] for action_id in self.platform.requested
+        ]
         self.assertThat(kinds, Equals(['checkpoint', 'checkpoint', 'stop']))
 
     def _actions(self) -> JobActions:
@@ -135,4 +137,4 @@
         )
 
     def _send(self) -> list[Any]:
-        return asyncio.run(self.actions.send(_ONCE))
+        return asyncio.run(self.actions.send(_NON_IDEMPOTENT))
