--- a/src/wigeonreach/__init__.py
+++ b/src/wigeonreach/__init__.py
@@ -1,4 +1,4 @@
-"""Keep a small fleet's capacity, maintenance and configuration in hand."""
+"""Manage the capacity, maintenance and configuration of a small fleet."""
 
 from wigeonreach.codes import ExitCode, Outcome, ResultCode
 from wigeonreach.exceptions import WigeonreachError
--- a/src/wigeonreach/_codes.py
+++ b/src/wigeonreach/_codes.py
@@ -1,4 +1,4 @@
-"""Number every result that a caller or an operator can see."""
+"""Define the numbered results that callers and operators see."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Outcome(enum.StrEnum):
-    """Whether a request's work was run by a target."""
+    """Whether a target ran a request."""
 
     RAN = 'ran'
     NOT_RUN = 'not-run'
@@ -14,7 +14,7 @@
 
 
 class ExitCode(enum.IntEnum):
-    """Exit status of the command line."""
+    """Exit codes of the command line."""
 
     DONE = 0
     FAILED = 1
@@ -27,11 +27,11 @@
 
 @enum.unique
 class ResultCode(enum.IntEnum):
-    """Numbered results; the table is ``docs/RESULT-CODES.md``."""
+    """Numbered results, documented in ``docs/RESULT-CODES.md``."""
 
     OK = 0
 
-    # 1000: the operator's text.
+    # 1000: the operator's configuration text.
     TEXT_SYNTAX = 1001
     TEXT_UNKNOWN_KEY = 1002
     TEXT_BAD_VALUE = 1003
@@ -41,7 +41,7 @@
     TEXT_IMPOSSIBLE_BUDGET = 1007
     TEXT_MISSING_KEY = 1008
 
-    # 2000: a caller's request.
+    # 2000: requests of callers.
     REQUEST_UNKNOWN_SERVICE = 2001
     REQUEST_BAD_HEADER = 2002
     REQUEST_TOO_LARGE = 2003
@@ -77,7 +77,7 @@
     ANNOUNCE_STALE = 2102
     ANNOUNCE_CLOSING = 2103
 
-    # 3000: the durable state.
+    # 3000: durable state.
     STATE_CONFLICT = 3001
     STATE_NO_QUORUM = 3002
     STATE_DAMAGED = 3003
@@ -106,7 +106,7 @@
     SETTING_MISSING = 5001
     SETTING_INVALID = 5002
 
-    # 6000: between processes.
+    # 6000: messages between processes.
     WIRE_MALFORMED = 6001
     WIRE_TOO_LARGE = 6002
     WIRE_UNREACHABLE = 6003
--- a/src/wigeonreach/_room.py
+++ b/src/wigeonreach/_room.py
@@ -1,26 +1,26 @@
-"""Measure what a worker has and what its work needs."""
+"""Represent the resources of a worker and the demand of its tasks."""
 
 from __future__ import annotations
 
 import dataclasses
 import math
 
-# Wide enough for sums of fractions, far below one byte or thread.
+# Absorbs floating-point errors of sums; far below one byte or processor.
 _ROUNDING = 1e-6
-# More tasks than any worker is given.
+# Upper limit for a demand of zero; more tasks than any worker is given.
 _MANY = 1_000_000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Room:
-    """Processors, memory and accelerators, had or needed."""
+    """Processors, memory and accelerators, either available or required."""
 
     processors: float
     memory_bytes: float
     accelerators: int = 0
 
     def __add__(self, other: Room) -> Room:
-        """Return both together."""
+        """Return the sum of both."""
         return Room(
             self.processors + other.processors,
             self.memory_bytes + other.memory_bytes,
@@ -28,7 +28,7 @@
         )
 
     def __sub__(self, other: Room) -> Room:
-        """Return what is left; it may be below zero."""
+        """Return the difference, which may be negative."""
         return Room(
             self.processors - other.processors,
             self.memory_bytes - other.memory_bytes,
@@ -36,7 +36,7 @@
         )
 
     def holds(self, need: Room) -> bool:
-        """Whether all of a need fits in."""
+        """Whether a demand fits in every dimension."""
         return (
             self.processors + _ROUNDING >= need.processors
             and self.memory_bytes + _ROUNDING >= need.memory_bytes
@@ -44,7 +44,7 @@
         )
 
     def count(self, need: Room) -> int:
-        """Return how often a need fits in; what needs nothing fits always."""
+        """Return how many copies of a demand fit; an empty one always fits."""
         counts = [_MANY]
         if need.processors:
             counts.append(_whole(self.processors / need.processors))
@@ -55,7 +55,7 @@
         return max(min(counts), 0)
 
     def scaled(self, processors: float, memory: float) -> Room:
-        """Return it with each ratio applied; accelerators are whole."""
+        """Return processors and memory scaled; accelerators are indivisible."""
         return Room(
             self.processors * processors,
             self.memory_bytes * memory,
--- a/src/wigeonreach/_runner.py
+++ b/src/wigeonreach/_runner.py
@@ -1,4 +1,4 @@
-"""Run one daemon until it is told to stop."""
+"""Run one daemon until it receives a signal to stop."""
 
 from __future__ import annotations
 
@@ -19,69 +19,69 @@
 
 
 class Daemon(Protocol):
-    """What the runner needs of a daemon; ``mode.Service`` has most of it."""
+    """Interface of a daemon; ``mode.Service`` provides most of it."""
 
     async def start(self) -> None:
-        """Begin to serve."""
+        """Start serving."""
 
     async def drain(self) -> None:
-        """Finish what is in flight and take nothing new."""
+        """Finish requests in flight and accept no new ones."""
 
     async def stop(self) -> None:
-        """Release everything."""
+        """Release all resources."""
 
 
 def start_daemon(
     name: str,
     log_format: LogFormat,
     log_level: LogLevel,
-    make: Callable[[Logger], Daemon],
+    create: Callable[[Logger], Daemon],
 ) -> None:
-    """Set logs up, then make a daemon and run it.
+    """Configure logging, then create a daemon and run it.
 
     Parameters
     ----------
     name
-        Of the process, on each of its log lines.
+        Name of the process, added to each log line.
     log_format, log_level
-        Shape of the lines, and which are written.
+        Format of the log lines and the lowest level written.
     make
-        Returns the daemon.
+        Creates the daemon with the given logger.
     """
     configure_logs(log_format, log_level)
     logger = Logger(name)
-    run_daemon(make(logger), logger)
+    run_daemon(create(logger), logger)
 
 
 def run_daemon(daemon: Daemon, logger: Logger) -> None:
-    """Run a daemon until SIGTERM or SIGINT; a second signal ends it at once.
+    """Run a daemon until SIGTERM or SIGINT; a second signal exits at once.
 
     Parameters
     ----------
     daemon
         The daemon to run.
     logger
-        Where start and stop are logged.
+        Logs start and stop.
     """
     asyncio.run(_run(daemon, logger))
 
 
 async def _run(daemon: Daemon, logger: Logger) -> None:
-    told = asyncio.Event()
+    stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, _on_signal, told, logger)
+        loop.add_signal_handler(number, _on_signal, stop_requested, logger)
     await daemon.start()
     logger.info(LogEvent.DAEMON_STARTED, pid=os.getpid())
-    await told.wait()
+    await stop_requested.wait()
     logger.info(LogEvent.DAEMON_STOPPING)
     await daemon.drain()
     await daemon.stop()
     logger.info(LogEvent.DAEMON_STOPPED)
 
 
-def _on_signal(told: asyncio.Event, logger: Logger) -> None:
-    if told.is_set():
+def _on_signal(stop_requested: asyncio.Event, logger: Logger) -> None:
+    if stop_requested.is_set():
         logger.warning(LogEvent.DAEMON_FORCED)
         os._exit(ExitCode.FAILED)  # noqa: SLF001, WPS437
-    told.set()
+    stop_requested.set()
--- a/src/wigeonreach/cli/__init__.py
+++ b/src/wigeonreach/cli/__init__.py
@@ -1,4 +1,4 @@
-"""Offer the daemons and the operator's commands on the command line."""
+"""Command line that starts daemons and runs operator commands."""
 
 from wigeonreach.cli._app import app
 
--- a/src/wigeonreach/cli/_client.py
+++ b/src/wigeonreach/cli/_client.py
@@ -1,4 +1,4 @@
-"""Ask replicas on behalf of an operator."""
+"""Query replicas on behalf of an operator."""
 
 from __future__ import annotations
 
@@ -21,22 +21,30 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Spread:
-    """Names of the processes that act on a version and of the others."""
+class RolloutProgress:
+    """Which processes have applied a version.
+
+    Attributes
+    ----------
+    reached
+        Names of the processes that run this version or a newer one.
+    behind
+        Names of the other expected processes.
+    """
 
     reached: list[str]
     behind: list[str]
 
 
 def operator_client(replicas: Sequence[Member]) -> StateClient:
-    """Return a client that acts in the name of whoever runs the command."""
+    """Return a client that acts as the user who runs the command."""
     return StateClient(getpass.getuser(), replicas)
 
 
 async def status_of_all(replicas: Sequence[Member]) -> list[ReplicaStatus]:
-    """Return the status of each replica that answers."""
+    """Return the status of each replica that responds."""
     replies = await asyncio.gather(
-        *(_status_of(member) for member in replicas),
+        *(_fetch_status(member) for member in replicas),
         return_exceptions=True,
     )
     return [reply for reply in replies if isinstance(reply, ReplicaStatus)]
@@ -45,18 +53,19 @@
 def followers_by_name(
     statuses: Sequence[ReplicaStatus],
 ) -> Mapping[str, FollowerStatus]:
-    """Return the newest that any replica knows of each follower.
+    """Return the newest status of each follower over all replicas.
 
     Parameters
     ----------
     statuses
-        What the replicas told.
+        Status of each replica that responded.
 
     Returns
     -------
     dict
-        Followers by process name.  A replica that lost one silently may still
-        list it with an older version.
+        Followers by process name.  A replica whose connection to a follower
+        broke unnoticed may still list it with an older version, so the
+        newest version counts.
     """
     newest: dict[str, FollowerStatus] = {}
     for status in statuses:
@@ -67,21 +76,23 @@
     return newest
 
 
-def find_spread(statuses: Sequence[ReplicaStatus], version: int) -> Spread:
-    """Tell which processes act on a version.
+def find_progress(
+    statuses: Sequence[ReplicaStatus], version: int
+) -> RolloutProgress:
+    """Return which processes have applied a version.
 
     Parameters
     ----------
     statuses
-        What the replicas told.
+        Status of each replica that responded.
     version
-        The version.
+        Version of the configuration.
 
     Returns
     -------
-    Spread
-        Names of all followers and of registered processes that no replica
-        reaches at present.
+    RolloutProgress
+        Covers all followers, and registered processes that no replica
+        reaches at present; those count as behind.
     """
     followers = followers_by_name(statuses)
     expected = set(followers)
@@ -92,10 +103,10 @@
         for name, follower in followers.items()
         if follower.version >= version
     }
-    return Spread(sorted(reached), sorted(expected - reached))
+    return RolloutProgress(sorted(reached), sorted(expected - reached))
 
 
-async def _status_of(replica: Member) -> ReplicaStatus:
+async def _fetch_status(replica: Member) -> ReplicaStatus:
     channel = await connect(replica.address, _STATUS_TIMEOUT_S)
     try:
         reply = await channel.request(
--- a/src/wigeonreach/cli/_config_commands.py
+++ b/src/wigeonreach/cli/_config_commands.py
@@ -1,4 +1,4 @@
-"""Change the accepted text, preview a change and restore an old text."""
+"""Commands that apply, preview and restore configuration texts."""
 
 from __future__ import annotations
 
@@ -15,12 +15,16 @@
 from wigeonreach.charts import load_chart
 from wigeonreach.cli import _options as options
 from wigeonreach.cli._client import (
-    Spread,
-    find_spread,
+    RolloutProgress,
+    find_progress,
     operator_client,
     status_of_all,
 )
-from wigeonreach.cli._errors import errors_as_exits, exit_for, leave
+from wigeonreach.cli._errors import (
+    exit_code_for,
+    exit_on_error,
+    exit_with_message,
+)
 from wigeonreach.codes import ExitCode, ResultCode
 from wigeonreach.exceptions import SettingError
 from wigeonreach.rollout import describe_changes
@@ -38,29 +42,31 @@
     }
 )
 _POLL_S = 0.05
-_LONGEST_WAIT_S = 7.0
+_DEFAULT_WAIT_S = 7.0
 TextPath = Annotated[
     pathlib.Path,
-    typer.Argument(exists=True, dir_okay=False, help='The TOML text.'),
+    typer.Argument(
+        exists=True, dir_okay=False, help='TOML file with the configuration.'
+    ),
 ]
 Base = Annotated[
     int | None,
-    typer.Option(help='Version the change is based on; newest if left.'),
+    typer.Option(help='Version the change is based on; newest if omitted.'),
 ]
 ChangeId = Annotated[
     str | None,
-    typer.Option(help='Id of the change; the same id and base resend it.'),
+    typer.Option(help='Id of the change; resend it with the same id and base.'),
 ]
 Wait = Annotated[
     float,
-    typer.Option(min=0, help='Seconds to wait until it is in force.'),
+    typer.Option(min=0, help='Seconds to wait until the change is in force.'),
 ]
 
 
 class ChangeReport(msgspec.Struct, frozen=True):
     """JSON that ``apply`` and ``restore`` print.
 
-    ``state`` is one of the chart of a change.
+    ``state`` is a state of the chart ``change``.
     """
 
     state: str
@@ -84,36 +90,36 @@
     replicas: options.Replicas,
     base: Base = None,
     change_id: ChangeId = None,
-    wait_s: Wait = _LONGEST_WAIT_S,
+    wait_s: Wait = _DEFAULT_WAIT_S,
     as_json: options.AsJson = False,
 ) -> None:
-    """Make a text the accepted one and wait until it is in force."""
+    """Apply a configuration text and wait until it is in force."""
     text = path.read_text()
-    with errors_as_exits():
+    with exit_on_error():
         members = parse_members(replicas, '--replica')
-        _check_resend(base, change_id)
+        _require_base_for_resend(base, change_id)
         report = asyncio.run(
-            _change(members, text, base, change_id, wait_s),
+            _submit_change(members, text, base, change_id, wait_s),
         )
-    _finish(report, as_json)
+    _print_and_exit(report, as_json)
 
 
 def restore(
-    version: Annotated[int, typer.Argument(help='The old version.')],
+    version: Annotated[int, typer.Argument(help='Version to restore.')],
     replicas: options.Replicas,
     base: Base = None,
     change_id: ChangeId = None,
-    wait_s: Wait = _LONGEST_WAIT_S,
+    wait_s: Wait = _DEFAULT_WAIT_S,
     as_json: options.AsJson = False,
 ) -> None:
-    """Accept the text of an old version again, as a new version."""
-    with errors_as_exits():
+    """Apply the text of an old version again, as a new version."""
+    with exit_on_error():
         members = parse_members(replicas, '--replica')
-        _check_resend(base, change_id)
+        _require_base_for_resend(base, change_id)
         report = asyncio.run(
-            _change(members, version, base, change_id, wait_s),
+            _submit_change(members, version, base, change_id, wait_s),
         )
-    _finish(report, as_json)
+    _print_and_exit(report, as_json)
 
 
 def plan(
@@ -123,7 +129,7 @@
 ) -> None:
     """Check a text and show what would change, without changing it."""
     text = path.read_text()
-    with errors_as_exits():
+    with exit_on_error():
         members = parse_members(replicas, '--replica')
         report = asyncio.run(_plan(members, text))
     if as_json:
@@ -134,29 +140,29 @@
         typer.echo(line)
 
 
-def _check_resend(base: int | None, change_id: str | None) -> None:
-    # The newest base would turn a resend into a second change once the
-    # result of the first one is forgotten.
+def _require_base_for_resend(base: int | None, change_id: str | None) -> None:
+    # Defaulting to the newest base would apply a resent change a second time
+    # once the result of the first submission is forgotten.
     if change_id is not None and base is None:
         raise SettingError(
             ResultCode.SETTING_MISSING,
-            '--base: must stand beside --change-id, the same in each resend',
+            '--base: required with --change-id; use the same in each resend',
         )
 
 
 async def _plan(members: Sequence[Member], text: str) -> PlanReport:
     wanted = parse_fleet_text(text)
     client = operator_client(members)
-    now = await client.read(ReadAccepted(), AcceptedText)
-    if now.version:
-        before = parse_fleet_text(now.text)
+    accepted = await client.read(ReadAccepted(), AcceptedText)
+    if accepted.version:
+        before = parse_fleet_text(accepted.text)
         lines = [change.line() for change in diff_texts(before, wanted)]
     else:
         lines = list(describe_changes('', text))
-    return PlanReport(now.version, lines)
+    return PlanReport(accepted.version, lines)
 
 
-async def _change(
+async def _submit_change(
     members: Sequence[Member],
     wanted: str | int,
     base: int | None,
@@ -172,28 +178,28 @@
     else:
         action = RestoreText(base, wanted)
     reply = await client.submit(action, change_id)
-    spread = Spread([], [])
+    progress = RolloutProgress([], [])
     if reply.code == ResultCode.OK:
-        spread = await _wait_in_force(members, reply.version, wait_s)
-    return _report(reply, spread)
+        progress = await _wait_in_force(members, reply.version, wait_s)
+    return _build_report(reply, progress)
 
 
-def _report(reply: Reply, spread: Spread) -> ChangeReport:
+def _build_report(reply: Reply, progress: RolloutProgress) -> ChangeReport:
     return ChangeReport(
-        _state(reply, spread),
+        _change_state(reply, progress),
         reply.code,
         ResultCode(reply.code).name.lower(),
         reply.detail,
         reply.version,
-        spread.reached,
-        spread.behind,
+        progress.reached,
+        progress.behind,
     )
 
 
-def _state(reply: Reply, spread: Spread) -> str:
+def _change_state(reply: Reply, progress: RolloutProgress) -> str:
     event = _EVENT_BY_CODE.get(ResultCode(reply.code), 'invalid')
     state = _CHART.step(_CHART.initial, event) or _CHART.initial
-    reached = 'timed_out' if spread.behind else 'reached_all'
+    reached = 'timed_out' if progress.behind else 'reached_all'
     return _CHART.step(state, reached) or state
 
 
@@ -201,27 +207,29 @@
     members: Sequence[Member],
     version: int,
     wait_s: float,
-) -> Spread:
-    ends_s = time.monotonic() + wait_s
+) -> RolloutProgress:
+    deadline_s = time.monotonic() + wait_s
     while True:
-        spread = find_spread(await status_of_all(members), version)
-        if not spread.behind or time.monotonic() >= ends_s:
-            return spread
+        progress = find_progress(await status_of_all(members), version)
+        if not progress.behind or time.monotonic() >= deadline_s:
+            return progress
         await asyncio.sleep(_POLL_S)
 
 
-def _finish(report: ChangeReport, as_json: bool) -> None:
-    exit_code = exit_for(report.code)
+def _print_and_exit(report: ChangeReport, as_json: bool) -> None:
+    exit_code = exit_code_for(report.code)
     if report.behind:
         exit_code = ExitCode.NOT_IN_FORCE
     if as_json:
         typer.echo(msgspec.json.encode(report).decode())
         raise typer.Exit(int(exit_code))
     if report.code != ResultCode.OK:
-        leave(exit_code, f'{report.code} {report.name}: {report.detail}')
+        exit_with_message(
+            exit_code, f'{report.code} {report.name}: {report.detail}'
+        )
     if report.behind:
         names = ', '.join(report.behind)
-        leave(
+        exit_with_message(
             exit_code,
             f'version {report.version} accepted, not yet in force on: {names}',
         )
--- a/src/wigeonreach/cli/_core_command.py
+++ b/src/wigeonreach/cli/_core_command.py
@@ -1,4 +1,4 @@
-"""Start a core process."""
+"""Command that starts a core process."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from wigeonreach._runner import start_daemon
 from wigeonreach.cli import _options as options
-from wigeonreach.cli._errors import errors_as_exits
+from wigeonreach.cli._errors import exit_on_error
 from wigeonreach.core import Core, CoreSettings, NoAdvisor, UnmanagedVms
 from wigeonreach.observe import Logger, LogFormat, LogLevel, Metrics
 from wigeonreach.scheduling import SchedulingSettings
@@ -31,7 +31,7 @@
         str,
         typer.Option(
             envvar='WIGEONREACH_ADVERTISE',
-            help='IP:PORT at which others reach it, if not --listen.',
+            help='IP:PORT at which others reach it; default: --listen.',
         ),
     ] = '',
     data_folder: options.DataFolder = pathlib.Path('data'),
@@ -39,7 +39,7 @@
         bool,
         typer.Option(
             envvar='WIGEONREACH_FIRST_START',
-            help='The whole system starts for the first time.',
+            help='Set when the whole system starts for the first time.',
         ),
     ] = False,
     losses: Annotated[
@@ -47,14 +47,14 @@
         typer.Option(
             envvar='WIGEONREACH_LOSSES',
             min=0,
-            help='Disks that may be lost at once; twice as many and one vote.',
+            help='Disks that may be lost at once; needs 2 * LOSSES + 1 voters.',
         ),
     ] = 1,
     log_format: options.Format = LogFormat.JSON,
     log_level: options.Level = LogLevel.INFO,
 ) -> None:
-    """Run a core process, which keeps jobs and decides on workers."""
-    with errors_as_exits():
+    """Run a core process, which stores jobs and schedules workers."""
+    with exit_on_error():
         advertised = (
             parse_address(advertise, '--advertise') if advertise else None
         )
@@ -74,10 +74,10 @@
             settings.name,
             log_format,
             log_level,
-            lambda logger: _make(settings, logger),
+            lambda logger: _build_core(settings, logger),
         )
 
 
-def _make(settings: CoreSettings, logger: Logger) -> Core:
-    # Without a platform there are no VMs to order and nobody to ask.
+def _build_core(settings: CoreSettings, logger: Logger) -> Core:
+    # Without a platform there are no VMs to order and no advisor to query.
     return Core(settings, UnmanagedVms(), NoAdvisor(), logger, Metrics())
--- a/src/wigeonreach/cli/_daemon_commands.py
+++ b/src/wigeonreach/cli/_daemon_commands.py
@@ -1,4 +1,4 @@
-"""Start one daemon each."""
+"""Commands that start an entry or a replica."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from wigeonreach._runner import start_daemon
 from wigeonreach.cli import _options as options
-from wigeonreach.cli._errors import errors_as_exits
+from wigeonreach.cli._errors import exit_on_error
 from wigeonreach.entry import Entry, EntrySettings
 from wigeonreach.observe import LogFormat, LogLevel
 from wigeonreach.state import Replica, ReplicaSettings
@@ -30,7 +30,7 @@
         typer.Option(
             envvar='WIGEONREACH_MAX_BODY_BYTES',
             min=1,
-            help='Largest body of a request.',
+            help='Largest request body in bytes.',
         ),
     ] = _MEBIBYTE,
     max_deadline_s: Annotated[
@@ -38,7 +38,7 @@
         typer.Option(
             envvar='WIGEONREACH_MAX_DEADLINE_S',
             min=0.1,
-            help='Longest deadline; bounds a graceful stop too.',
+            help='Longest deadline; also limits a graceful stop.',
         ),
     ] = 10.0,
     readiness_notice_s: Annotated[
@@ -46,7 +46,7 @@
         typer.Option(
             envvar='WIGEONREACH_READINESS_NOTICE_S',
             min=0,
-            help='How long the balancer needs to see that readiness is gone.',
+            help='How long the load balancer takes to see a failed /readyz.',
         ),
     ] = 1.0,
     contact_limit_s: Annotated[
@@ -54,7 +54,7 @@
         typer.Option(
             envvar='WIGEONREACH_CONTACT_LIMIT_S',
             min=0.6,
-            help='How long a peer may be silent before targets are asked.',
+            help='How long a peer may be silent before targets are checked.',
         ),
     ] = 1.0,
     head_timeout_s: Annotated[
@@ -62,7 +62,7 @@
         typer.Option(
             envvar='WIGEONREACH_HEAD_TIMEOUT_S',
             min=0.1,
-            help='How long a caller may take to send the head of a request.',
+            help='How long a caller may take to send the request headers.',
         ),
     ] = 15.0,
     key_lifetime_s: Annotated[
@@ -70,14 +70,14 @@
         typer.Option(
             envvar='WIGEONREACH_KEY_LIFETIME_S',
             min=1,
-            help='How long a request may be sent again under its key.',
+            help='How long a request may be resent with its key.',
         ),
     ] = 300.0,
     log_format: options.Format = LogFormat.JSON,
     log_level: options.Level = LogLevel.INFO,
 ) -> None:
-    """Run an entry, which passes callers' requests to targets."""
-    with errors_as_exits():
+    """Run an entry, which forwards callers' requests to targets."""
+    with exit_on_error():
         settings = EntrySettings(
             name=name,
             zone=zone,
@@ -109,8 +109,8 @@
     log_format: options.Format = LogFormat.JSON,
     log_level: options.Level = LogLevel.INFO,
 ) -> None:
-    """Run a replica, which keeps the durable state on its disk."""
-    with errors_as_exits():
+    """Run a replica, which stores the durable state on its disk."""
+    with exit_on_error():
         settings = ReplicaSettings(
             name=name,
             zone=zone,
--- a/src/wigeonreach/cli/_errors.py
+++ b/src/wigeonreach/cli/_errors.py
@@ -1,4 +1,4 @@
-"""Turn errors into exit codes."""
+"""Map errors to exit codes."""
 
 from __future__ import annotations
 
@@ -36,20 +36,22 @@
 
 
 @contextlib.contextmanager
-def errors_as_exits() -> Iterator[None]:
-    """Print a numbered error and leave with its exit code."""
+def exit_on_error() -> Iterator[None]:
+    """Print a numbered error and exit with its exit code."""
     try:
         yield
     except WigeonreachError as error:
-        leave(_EXIT_BY_ERROR.get(type(error), ExitCode.FAILED), str(error))
+        exit_with_message(
+            _EXIT_BY_ERROR.get(type(error), ExitCode.FAILED), str(error)
+        )
 
 
-def exit_for(code: int) -> ExitCode:
-    """Return the exit code for the result code of a reply."""
+def exit_code_for(code: int) -> ExitCode:
+    """Return the exit code for a result code."""
     return _EXIT_BY_CODE.get(ResultCode(code), ExitCode.REFUSED)
 
 
-def leave(code: ExitCode, message: str) -> NoReturn:
-    """Print a message to standard error and leave."""
+def exit_with_message(code: ExitCode, message: str) -> NoReturn:
+    """Print a message to standard error and exit."""
     typer.echo(message, err=True)
     raise typer.Exit(int(code))
--- a/src/wigeonreach/cli/_explain_command.py
+++ b/src/wigeonreach/cli/_explain_command.py
@@ -1,4 +1,4 @@
-"""Tell why a VM is where it is."""
+"""Command that explains a VM, a job or a result code."""
 
 from __future__ import annotations
 
@@ -13,7 +13,11 @@
 
 from wigeonreach.cli import _options as options
 from wigeonreach.cli._client import operator_client
-from wigeonreach.cli._errors import errors_as_exits, exit_for, leave
+from wigeonreach.cli._errors import (
+    exit_code_for,
+    exit_on_error,
+    exit_with_message,
+)
 from wigeonreach.codes import ResultCode
 from wigeonreach.exceptions import WireError
 from wigeonreach.manager import JobStatus, decode_body
@@ -34,7 +38,7 @@
 
 
 class Subject(enum.StrEnum):
-    """What can be explained."""
+    """Kinds of things that can be explained."""
 
     VM = 'vm'
     JOB = 'job'
@@ -42,7 +46,7 @@
 
 
 class Explanation(msgspec.Struct, frozen=True):
-    """What ``explain --json`` prints."""
+    """JSON that ``explain`` prints."""
 
     subject: str
     name: str
@@ -52,20 +56,20 @@
 def explain(
     subject: Subject,
     name: Annotated[
-        str, typer.Argument(help='VM, job, or number of a result.')
+        str, typer.Argument(help='VM name, job id or result number.')
     ],
     replicas: options.Replicas = [],  # noqa: B006, WPS404 - typer copies it
     manager_url: Annotated[
         str,
         typer.Option(
             envvar='WIGEONREACH_MANAGER',
-            help='URL of the manager of the zone of a job.',
+            help='URL of the manager in the zone of the job.',
         ),
     ] = 'http://127.0.0.1:8080',
     as_json: options.AsJson = False,
 ) -> None:
-    """Tell why a VM or job is where it is, or what a result code means."""
-    with errors_as_exits():
+    """Explain the state of a VM or job, or the meaning of a result code."""
+    with exit_on_error():
         if subject is Subject.CODE:
             reasons = _explain_code(name)
         elif subject is Subject.JOB:
@@ -74,8 +78,8 @@
             members = parse_members(replicas, '--replica')
             reasons = asyncio.run(_explain_vm(operator_client(members), name))
     if not reasons:
-        leave(
-            exit_for(ResultCode.WAVE_UNKNOWN),
+        exit_with_message(
+            exit_code_for(ResultCode.WAVE_UNKNOWN),
             f'{int(ResultCode.WAVE_UNKNOWN)} unknown: {subject} {name}',
         )
     if as_json:
@@ -89,8 +93,10 @@
 
 def _explain_code(number: str) -> list[str]:
     names = {str(int(code)): code.name.lower() for code in ResultCode}
-    known = names.get(number)
-    return [] if known is None else [f'{known}; see docs/RESULT-CODES.md']
+    code_name = names.get(number)
+    return (
+        [] if code_name is None else [f'{code_name}; see docs/RESULT-CODES.md']
+    )
 
 
 async def _explain_job(manager_url: str, job_id: str) -> list[str]:
@@ -99,10 +105,10 @@
     try:
         async with (
             aiohttp.ClientSession(timeout=timeout) as session,
-            session.get(url) as answer,
+            session.get(url) as response,
         ):
-            body = await answer.read()
-            is_known = answer.ok
+            body = await response.read()
+            is_known = response.ok
     except (aiohttp.ClientError, TimeoutError) as error:
         raise WireError(ResultCode.WIRE_UNREACHABLE, str(error)) from error
     if not is_known:
@@ -121,28 +127,28 @@
 
 async def _explain_vm(client: StateClient, vm: str) -> list[str]:
     accepted = await client.read(ReadAccepted(), AcceptedText)
-    owned = await client.read(ReadVms(), Vms)
+    ownership = await client.read(ReadVms(), Vms)
     waves = await client.read(ReadWaves(), Waves)
     reasons: list[str] = []
     if accepted.text:
         text = parse_fleet_text(accepted.text)
-        reasons.extend(_placed(text, accepted.version, vm))
-    for record in owned.vms:
+        reasons.extend(_placement_reasons(text, accepted.version, vm))
+    for record in ownership.vms:
         if record.vm == vm:
             reasons.append(f'{record.phase} by pool {record.pool!r}')
     for wave in waves.waves:
-        reasons.extend(_in_wave(wave, vm))
+        reasons.extend(_wave_reasons(wave, vm))
     return reasons
 
 
-def _placed(text: FleetText, version: int, vm: str) -> Iterator[str]:
+def _placement_reasons(text: FleetText, version: int, vm: str) -> Iterator[str]:
     for pool in text.pools.values():
         if vm in pool.vms:
             yield f'in pool {pool.name} since the text says so (v{version})'
-            yield from _served(text, pool.name)
+            yield from _service_reasons(text, pool.name)
 
 
-def _served(text: FleetText, pool: str) -> Iterator[str]:
+def _service_reasons(text: FleetText, pool: str) -> Iterator[str]:
     for service in text.services.values():
         if service.pool == pool:
             yield (
@@ -151,7 +157,7 @@
             )
 
 
-def _in_wave(wave: WaveRecord, vm: str) -> Iterator[str]:
+def _wave_reasons(wave: WaveRecord, vm: str) -> Iterator[str]:
     body = decode_body(wave.body)
     for track in body.state.tracks if body.state else ():
         if track.vm == vm:
--- a/src/wigeonreach/cli/_group.py
+++ b/src/wigeonreach/cli/_group.py
@@ -1,4 +1,4 @@
-"""Number the errors of settings that the argument parser finds."""
+"""Report errors of the argument parser as numbered setting errors."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 import typer
 from typer.core import TyperGroup
 
-from wigeonreach.cli._errors import leave
+from wigeonreach.cli._errors import exit_with_message
 from wigeonreach.codes import ExitCode, ResultCode
 from wigeonreach.exceptions import SettingError
 
 
-class NumberedGroup(TyperGroup):
-    """A group of commands whose refusals of a setting carry a number."""
+class NumberedErrorGroup(TyperGroup):
+    """Command group that reports an invalid setting with its number."""
 
     def invoke(self, ctx: Any) -> Any:
         """Run the chosen command.
@@ -21,31 +21,31 @@
         Parameters
         ----------
         ctx
-            The parser's context.
+            Context of the argument parser.
 
         Raises
         ------
         typer.Exit
-            If a setting is missing or malformed; it was named with a number
-            on standard error.
+            If a setting is missing or malformed; the numbered error has been
+            printed to standard error.
         """
         try:
             return super().invoke(ctx)
         except typer.BadParameter as error:
-            leave(ExitCode.USAGE, str(_numbered(error)))
+            exit_with_message(ExitCode.USAGE, str(_to_setting_error(error)))
 
 
-def _numbered(error: typer.BadParameter) -> SettingError:
+def _to_setting_error(error: typer.BadParameter) -> SettingError:
     message = error.format_message()
-    # The parser's class for missing settings is not public.
+    # The exception class for missing settings is not public.
     is_missing = message.startswith('Missing')
     code = ResultCode.SETTING_INVALID
     if is_missing:
         code = ResultCode.SETTING_MISSING
-    return SettingError(code, f'{_name(error)}: {message}')
+    return SettingError(code, f'{_setting_name(error)}: {message}')
 
 
-def _name(error: typer.BadParameter) -> str:
+def _setting_name(error: typer.BadParameter) -> str:
     parameter = error.param
     if parameter is None:
         return str(error.param_hint)
--- a/src/wigeonreach/cli/_maintenance_commands.py
+++ b/src/wigeonreach/cli/_maintenance_commands.py
@@ -1,4 +1,4 @@
-"""Start, pause, resume and stop maintenance waves and show them."""
+"""Commands that start, control and show maintenance waves."""
 
 from __future__ import annotations
 
@@ -12,7 +12,11 @@
 
 from wigeonreach.cli import _options as options
 from wigeonreach.cli._client import operator_client
-from wigeonreach.cli._errors import errors_as_exits, exit_for, leave
+from wigeonreach.cli._errors import (
+    exit_code_for,
+    exit_on_error,
+    exit_with_message,
+)
 from wigeonreach.codes import ResultCode
 from wigeonreach.manager import WaveBody, decode_body, encode_body
 from wigeonreach.wire import parse_members
@@ -26,17 +30,17 @@
 
 maintenance = typer.Typer(
     no_args_is_help=True,
-    help='Drain, reboot and check VMs, step by step within the budgets.',
+    help='Drain, reboot and check VMs in waves, within the budgets.',
 )
-WaveId = Annotated[str, typer.Argument(help='Name of the wave, used once.')]
+WaveId = Annotated[str, typer.Argument(help='Unique name of the wave.')]
 CommandId = Annotated[
     str | None,
-    typer.Option(help='Id of the command; the same id resends it.'),
+    typer.Option(help='Id of the command; resend it with the same id.'),
 ]
 
 
 class WaveStatusLine(msgspec.Struct, frozen=True):
-    """One wave, as ``maintenance status --json`` prints it."""
+    """One wave in the JSON that ``maintenance status`` prints."""
 
     wave_id: str
     phase: str
@@ -55,7 +59,7 @@
     command_id: CommandId = None,
     as_json: options.AsJson = False,
 ) -> None:
-    """Start a wave over all VMs, or those of some pools and zones."""
+    """Start a wave over all VMs, or those of the given pools and zones."""
     body = WaveBody(tuple(pools), tuple(zones))
     action = StartWave(wave_id, encode_body(body))
     _submit(action, replicas, command_id or f'start/{wave_id}', as_json)
@@ -68,7 +72,7 @@
     command_id: CommandId = None,
     as_json: options.AsJson = False,
 ) -> None:
-    """Take no further VMs for now; those begun are finished."""
+    """Pause a wave: VMs in progress finish, no others start."""
     _submit(SteerWave(wave_id, 'pause'), replicas, command_id, as_json)
 
 
@@ -79,7 +83,7 @@
     command_id: CommandId = None,
     as_json: options.AsJson = False,
 ) -> None:
-    """Go on with a wave that was paused or halted by itself."""
+    """Resume a wave that was paused or that halted by itself."""
     _submit(SteerWave(wave_id, 'resume'), replicas, command_id, as_json)
 
 
@@ -90,7 +94,7 @@
     command_id: CommandId = None,
     as_json: options.AsJson = False,
 ) -> None:
-    """End a wave: VMs that only drain go back, reboots finish."""
+    """Stop a wave: draining VMs are restored, reboots finish."""
     _submit(SteerWave(wave_id, 'stop'), replicas, command_id, as_json)
 
 
@@ -99,12 +103,12 @@
     replicas: options.Replicas,
     as_json: options.AsJson = False,
 ) -> None:
-    """Show each wave, how far it is and what it waits for."""
-    with errors_as_exits():
+    """Show the progress of each wave and what it waits for."""
+    with exit_on_error():
         members = parse_members(replicas, '--replica')
         client = operator_client(members)
         waves = asyncio.run(client.read(ReadWaves(), Waves))
-        lines = [_line(record) for record in waves.waves]
+        lines = [_wave_status(record) for record in waves.waves]
     if as_json:
         typer.echo(msgspec.json.encode(lines).decode())
         return
@@ -125,7 +129,7 @@
     command_id: str | None,
     as_json: bool,
 ) -> None:
-    with errors_as_exits():
+    with exit_on_error():
         members = parse_members(replicas, '--replica')
         client = operator_client(members)
         reply: Reply = asyncio.run(client.submit(action, command_id))
@@ -133,12 +137,14 @@
     if as_json:
         typer.echo(msgspec.json.encode(reply).decode())
     if reply.code != ResultCode.OK:
-        leave(exit_for(reply.code), f'{reply.code} {name}: {reply.detail}')
+        exit_with_message(
+            exit_code_for(reply.code), f'{reply.code} {name}: {reply.detail}'
+        )
     if not as_json:
         typer.echo('done')
 
 
-def _line(record: WaveRecord) -> WaveStatusLine:
+def _wave_status(record: WaveRecord) -> WaveStatusLine:
     body = decode_body(record.body)
     tracks = body.state.tracks if body.state else ()
     counts = collections.Counter(track.phase.value for track in tracks)
--- a/src/wigeonreach/cli/_manager_command.py
+++ b/src/wigeonreach/cli/_manager_command.py
@@ -1,4 +1,4 @@
-"""Start a manager."""
+"""Command that starts a manager."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 from wigeonreach._runner import start_daemon
 from wigeonreach.cli import _options as options
-from wigeonreach.cli._errors import errors_as_exits
+from wigeonreach.cli._errors import exit_on_error
 from wigeonreach.fleet import WaveSettings
 from wigeonreach.manager import Manager, ManagerSettings
 from wigeonreach.observe import LogFormat, LogLevel
 from wigeonreach.wire import parse_address, parse_members
 
-_SHORTEST_S = 0.01
+_MIN_DURATION_S = 0.01
 
 
-def _seconds(name: str, text: str) -> Any:
+def _duration_option(name: str, text: str) -> Any:
     return typer.Option(
         envvar=f'WIGEONREACH_{name}',
-        min=_SHORTEST_S,
+        min=_MIN_DURATION_S,
         help=text,
     )
 
@@ -41,7 +41,7 @@
         typer.Option(
             envvar='WIGEONREACH_LEASE_S',
             min=1,
-            help='Lease under which one manager decides.',
+            help='Duration of the lease that the active manager holds.',
         ),
     ] = 10.0,
     poll_s: Annotated[
@@ -49,7 +49,7 @@
         typer.Option(
             envvar='WIGEONREACH_POLL_S',
             min=0.05,
-            help='Time between looks at the platform.',
+            help='Interval between polls of the platform.',
         ),
     ] = 1.0,
     max_at_once: Annotated[
@@ -57,38 +57,42 @@
         typer.Option(
             envvar='WIGEONREACH_MAX_AT_ONCE',
             min=1,
-            help='Most VMs that one wave has down at once.',
+            help='Most VMs of one wave that are down at once.',
         ),
     ] = 20,
     drain_limit_s: Annotated[
         float,
-        _seconds('DRAIN_LIMIT_S', 'Longest drain of a VM.'),
+        _duration_option('DRAIN_LIMIT_S', 'Longest drain of a VM.'),
     ] = 900.0,
     reboot_limit_s: Annotated[
         float,
-        _seconds('REBOOT_LIMIT_S', 'Longest reboot of a VM.'),
+        _duration_option('REBOOT_LIMIT_S', 'Longest reboot of a VM.'),
     ] = 600.0,
     check_limit_s: Annotated[
         float,
-        _seconds('CHECK_LIMIT_S', 'Longest wait until a VM is healthy.'),
+        _duration_option(
+            'CHECK_LIMIT_S', 'Longest wait until a VM is healthy.'
+        ),
     ] = 180.0,
     settle_s: Annotated[
         float,
-        _seconds('SETTLE_S', 'How long a VM is watched after its return.'),
+        _duration_option(
+            'SETTLE_S', 'How long a VM is watched after its return.'
+        ),
     ] = 300.0,
     resend_s: Annotated[
         float,
-        _seconds('RESEND_S', 'After this time an action is sent again.'),
+        _duration_option('RESEND_S', 'Time after which an action is resent.'),
     ] = 10.0,
     expected_s: Annotated[
         float,
-        _seconds('EXPECTED_S', 'How long a VM is down as a rule.'),
+        _duration_option('EXPECTED_S', 'Expected time that a VM is down.'),
     ] = 900.0,
     log_format: options.Format = LogFormat.JSON,
     log_level: options.Level = LogLevel.INFO,
 ) -> None:
-    """Run a manager, which carries maintenance waves out."""
-    with errors_as_exits():
+    """Run a manager, which carries out maintenance waves."""
+    with exit_on_error():
         settings = ManagerSettings(
             name=name,
             zone=zone,
--- a/src/wigeonreach/cli/_options.py
+++ b/src/wigeonreach/cli/_options.py
@@ -1,4 +1,4 @@
-"""Define the options that several commands share."""
+"""Options that several commands share."""
 
 from __future__ import annotations
 
@@ -15,17 +15,21 @@
 ]
 Zone = Annotated[
     str,
-    typer.Option(envvar='WIGEONREACH_ZONE', help='Its availability zone.'),
+    typer.Option(
+        envvar='WIGEONREACH_ZONE', help='Availability zone of this process.'
+    ),
 ]
 Http = Annotated[
     str,
-    typer.Option(envvar='WIGEONREACH_HTTP', help='IP:PORT for HTTP.'),
+    typer.Option(
+        envvar='WIGEONREACH_HTTP', help='IP:PORT on which to serve HTTP.'
+    ),
 ]
 Listen = Annotated[
     str,
     typer.Option(
         envvar='WIGEONREACH_LISTEN',
-        help='IP:PORT for other processes of the system.',
+        help='IP:PORT on which to accept other processes.',
     ),
 ]
 Peers = Annotated[
@@ -53,10 +57,12 @@
 ]
 Format = Annotated[
     LogFormat,
-    typer.Option(envvar='WIGEONREACH_LOG_FORMAT', help='Shape of log lines.'),
+    typer.Option(envvar='WIGEONREACH_LOG_FORMAT', help='Format of log lines.'),
 ]
 Level = Annotated[
     LogLevel,
-    typer.Option(envvar='WIGEONREACH_LOG_LEVEL', help='Lowest level logged.'),
+    typer.Option(
+        envvar='WIGEONREACH_LOG_LEVEL', help='Lowest level that is logged.'
+    ),
 ]
 AsJson = Annotated[bool, typer.Option('--json', help='Print JSON.')]
--- a/src/wigeonreach/cli/_status_commands.py
+++ b/src/wigeonreach/cli/_status_commands.py
@@ -1,4 +1,4 @@
-"""Show the state of the system and who changed it."""
+"""Commands that show processes and the history of changes."""
 
 from __future__ import annotations
 
@@ -12,23 +12,27 @@
 
 from wigeonreach.cli import _options as options
 from wigeonreach.cli._client import (
-    find_spread,
+    find_progress,
     followers_by_name,
     operator_client,
     status_of_all,
 )
-from wigeonreach.cli._errors import errors_as_exits, exit_for, leave
+from wigeonreach.cli._errors import (
+    exit_code_for,
+    exit_on_error,
+    exit_with_message,
+)
 from wigeonreach.codes import ExitCode, ResultCode
 from wigeonreach.wire import parse_members
 from wigeonreach.wire._command_messages import ForgetProcess
 from wigeonreach.wire._rollout_messages import ReplicaStatus
 from wigeonreach.wire._state_messages import History, ReadHistory
 
-_UNCONFIRMED_S = 3.0
+_MAX_CONFIRMED_AGE_S = 3.0
 
 
 class ProcessStatus(msgspec.Struct, frozen=True):
-    """One line of ``status``; ``version`` is missing where none is known."""
+    """One line of ``status``; ``version`` is None if unknown."""
 
     process: str
     zone: str
@@ -38,11 +42,11 @@
 
 
 def status(replicas: options.Replicas, as_json: options.AsJson = False) -> None:
-    """Show each process and the version it acts on."""
-    with errors_as_exits():
+    """Show each process and the configuration version it runs."""
+    with exit_on_error():
         members = parse_members(replicas, '--replica')
         replies = asyncio.run(status_of_all(members))
-    lines = list(_lines(replies))
+    lines = list(_process_statuses(replies))
     if as_json:
         typer.echo(msgspec.json.encode(lines).decode())
     else:
@@ -53,7 +57,7 @@
                 f'{shown:>8} {line.note}'.rstrip(),
             )
     if not replies:
-        leave(ExitCode.UNREACHABLE, 'no replica answers')
+        exit_with_message(ExitCode.UNREACHABLE, 'no replica answers')
 
 
 def history(
@@ -61,14 +65,14 @@
     limit: Annotated[int, typer.Option(min=1)] = 20,
     as_json: options.AsJson = False,
 ) -> None:
-    """Show who changed what and when, newest first."""
-    with errors_as_exits():
+    """Show the changes with author and time, newest first."""
+    with exit_on_error():
         client = operator_client(parse_members(replicas, '--replica'))
-        past = asyncio.run(client.read(ReadHistory(limit), History))
+        changes = asyncio.run(client.read(ReadHistory(limit), History))
     if as_json:
-        typer.echo(msgspec.json.encode(past.entries).decode())
+        typer.echo(msgspec.json.encode(changes.entries).decode())
         return
-    for entry in past.entries:
+    for entry in changes.entries:
         at = datetime.datetime.fromtimestamp(entry.at_s, datetime.UTC)
         typer.echo(
             f'v{entry.version} {at:%Y-%m-%d %H:%M:%S}Z {entry.author}: '
@@ -80,15 +84,17 @@
     process: Annotated[str, typer.Argument(help='Name of the process.')],
     replicas: options.Replicas,
 ) -> None:
-    """Stop waiting for a process that is gone for good."""
-    with errors_as_exits():
+    """Remove a process that is permanently gone from the expected ones."""
+    with exit_on_error():
         client = operator_client(parse_members(replicas, '--replica'))
         reply = asyncio.run(client.submit(ForgetProcess(process)))
     if reply.code != ResultCode.OK:
-        leave(exit_for(reply.code), reply.detail)
+        exit_with_message(exit_code_for(reply.code), reply.detail)
 
 
-def _lines(replies: Sequence[ReplicaStatus]) -> Iterator[ProcessStatus]:
+def _process_statuses(
+    replies: Sequence[ReplicaStatus],
+) -> Iterator[ProcessStatus]:
     newest = max((reply.version for reply in replies), default=0)
     for reply in replies:
         yield ProcessStatus(
@@ -99,7 +105,7 @@
             _replica_note(reply, newest),
         )
     followers = followers_by_name(replies)
-    behind = find_spread(replies, newest).behind
+    behind = find_progress(replies, newest).behind
     for name in sorted(followers.keys() | set(behind)):
         follower = followers.get(name)
         note = 'behind' if name in behind else ''
@@ -116,6 +122,6 @@
 
 
 def _replica_note(reply: ReplicaStatus, newest: int) -> str:
-    if not 0 <= reply.confirmed_age_s < _UNCONFIRMED_S:
+    if not 0 <= reply.confirmed_age_s < _MAX_CONFIRMED_AGE_S:
         return 'out of touch with the quorum'
     return 'behind' if reply.version < newest else ''
--- a/src/wigeonreach/cli/_trace_command.py
+++ b/src/wigeonreach/cli/_trace_command.py
@@ -1,4 +1,4 @@
-"""Tell the story of one id from logs."""
+"""Command that collects the log lines about one id."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import typer
 
-from wigeonreach.cli._errors import leave
+from wigeonreach.cli._errors import exit_with_message
 from wigeonreach.codes import ExitCode
 from wigeonreach.observe._timeline import describe_timeline, parse_lines
 
@@ -21,20 +21,20 @@
     files: Annotated[
         list[pathlib.Path] | None,
         typer.Argument(
-            help='Logs of the processes; standard input if none is given.',
+            help='Log files of the processes; default: standard input.',
             exists=True,
             dir_okay=False,
         ),
     ] = None,
 ) -> None:
-    """Print what all processes logged about an id, in order."""
+    """Print the log lines of all processes about an id, in time order."""
     lines: list[str] = []
     for path in files or ():
         lines.extend(path.read_text(encoding='utf-8').splitlines())
     if not files:
         lines.extend(sys.stdin)
-    story = describe_timeline(parse_lines(lines), subject)
-    if not story:
-        leave(ExitCode.REFUSED, f'no line names {subject}')
-    for told in story:
-        typer.echo(told)
+    timeline = describe_timeline(parse_lines(lines), subject)
+    if not timeline:
+        exit_with_message(ExitCode.REFUSED, f'no line names {subject}')
+    for line in timeline:
+        typer.echo(line)
--- a/src/wigeonreach/codes.py
+++ b/src/wigeonreach/codes.py
@@ -1,4 +1,4 @@
-"""Expose the numbered result codes."""
+"""Export the numbered result codes."""
 
 from wigeonreach._codes import ExitCode, Outcome, ResultCode
 
--- a/src/wigeonreach/exceptions.py
+++ b/src/wigeonreach/exceptions.py
@@ -13,17 +13,17 @@
     code
         Number under which ``docs/RESULT-CODES.md`` describes the error.
     detail
-        What happened and what is allowed, for a person.
+        Readable description of what happened and what is allowed.
     """
 
     def __init__(self, code: ResultCode, detail: str) -> None:
-        """Keep the code beside the message."""
+        """Store the code next to the message."""
         super().__init__(code, detail)
         self.code = code
         self.detail = detail
 
     def __str__(self) -> str:
-        """Show the number first, so that it can be looked up."""
+        """Return the message, with the number first for look-up."""
         return f'{int(self.code)} {self.code.name.lower()}: {self.detail}'
 
 
@@ -32,11 +32,11 @@
 
 
 class FleetTextError(WigeonreachError):
-    """An operator's text is refused as a whole."""
+    """A configuration text is invalid; none of it is applied."""
 
 
 class RequestRefusedError(WigeonreachError):
-    """A caller's request truly did not run.
+    """A caller's request was refused and certainly did not run.
 
     Parameters
     ----------
@@ -45,7 +45,7 @@
     detail
         What happened and what is allowed.
     return_after_s
-        When it makes sense to ask again, in whole seconds, if that is known.
+        Whole seconds after which to retry, if known.
     """
 
     def __init__(
@@ -54,20 +54,20 @@
         detail: str,
         return_after_s: int | None = None,
     ) -> None:
-        """Keep the time beside code and detail."""
+        """Store the retry time next to code and detail."""
         super().__init__(code, detail)
         self.return_after_s = return_after_s
 
 
 class AttemptFailedError(WigeonreachError):
-    """An attempt gave no whole answer.
+    """An attempt did not return a complete response.
 
     Parameters
     ----------
     code
         Numbered reason.
     outcome
-        Whether the target ran the request, as far as is known.
+        Whether the target ran the request, as far as known.
     detail
         What happened.
     """
@@ -78,22 +78,22 @@
         outcome: Outcome,
         detail: str,
     ) -> None:
-        """Keep the outcome beside code and detail."""
+        """Store the outcome next to code and detail."""
         super().__init__(code, detail)
         self.outcome = outcome
 
 
 class WireError(WigeonreachError):
-    """A message from another process can't be understood."""
+    """A process can't be reached, or its message can't be decoded."""
 
 
 class StateError(WigeonreachError):
-    """The durable state can't do what it was asked."""
+    """The durable state can't serve a read or a command."""
 
 
 class PlatformError(WigeonreachError):
-    """The platform refused, or its answer can't be trusted."""
+    """The platform refused a request, or its response is invalid."""
 
 
 class ChartError(WigeonreachError):
-    """A state chart has no transition for what happened."""
+    """A state chart has no transition for an event."""
--- a/tests/cli/test_settings.py
+++ b/tests/cli/test_settings.py
@@ -1,4 +1,4 @@
-"""Test that settings are refused by number and stand in the docs."""
+"""Test that invalid settings are numbered and all are documented."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 _DAEMONS = ('entry', 'replica', 'manager', 'core')
 _PAGE = pathlib.Path(__file__).parents[2] / 'docs' / 'SETTINGS.md'
-_WHOLE_REPLICA = (
+_REPLICA_ARGUMENTS = (
     'replica',
     '--name=r-a',
     '--zone=a',
@@ -26,36 +26,36 @@
     """Settings of the daemons."""
 
     def test_missing(self) -> None:
-        """A missing setting is named with flag, variable and number."""
+        """A missing setting is reported with flag, variable and number."""
         self._assert_refused(
-            _WHOLE_REPLICA[:2],
+            _REPLICA_ARGUMENTS[:2],
             '5001 setting_missing: --zone (WIGEONREACH_ZONE)',
         )
 
     def test_out_of_range(self) -> None:
-        """A setting that the parser refuses is named with its number."""
+        """A setting that the parser rejects is reported with its number."""
         self._assert_refused(
-            (*_WHOLE_REPLICA, '--log-level=loud'),
+            (*_REPLICA_ARGUMENTS, '--log-level=loud'),
             '5002 setting_invalid: --log-level (WIGEONREACH_LOG_LEVEL)',
         )
 
     def test_malformed(self) -> None:
-        """A setting that the daemon refuses is named with its number."""
+        """A setting that the daemon rejects is reported with its number."""
         self._assert_refused(
-            (*_WHOLE_REPLICA, '--replica=r-b'),
+            (*_REPLICA_ARGUMENTS, '--replica=r-b'),
             '5002 setting_invalid: --replica',
         )
 
     def test_page(self) -> None:
-        """Each setting of a daemon has a row with flag and variable."""
+        """Each daemon setting is documented with flag and variable."""
         page = _PAGE.read_text()
         command = typer.main.get_command(app)
         for daemon in _DAEMONS:
-            for one in command.commands[daemon].params:  # type: ignore[attr-defined]
-                row = f'| `{one.opts[0]}` | `{one.envvar}` |'
+            for parameter in command.commands[daemon].params:  # type: ignore[attr-defined]
+                row = f'| `{parameter.opts[0]}` | `{parameter.envvar}` |'
                 self.assertThat(page, Contains(row))
 
-    def _assert_refused(self, words: tuple[str, ...], start: str) -> None:
-        called = CliRunner().invoke(app, list(words), env={})
-        self.assertThat(called.exit_code, Equals(2))
-        self.assertThat(called.stderr, Contains(start))
+    def _assert_refused(self, arguments: tuple[str, ...], message: str) -> None:
+        outcome = CliRunner().invoke(app, list(arguments), env={})
+        self.assertThat(outcome.exit_code, Equals(2))
+        self.assertThat(outcome.stderr, Contains(message))
