--- a/src/wigeonreach/observe/__init__.py
+++ b/src/wigeonreach/observe/__init__.py
@@ -1,4 +1,4 @@
-"""Count, time and log what a daemon does."""
+"""Metrics and structured logs of the daemons."""
 
 from wigeonreach.observe._events import LogEvent
 from wigeonreach.observe._logs import (
--- a/src/wigeonreach/observe/_events.py
+++ b/src/wigeonreach/observe/_events.py
@@ -1,4 +1,4 @@
-"""Number every log event; the catalogue is ``docs/LOG-EVENTS.md``."""
+"""Define the numbered log events."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @enum.unique
 class LogEvent(enum.IntEnum):
-    """Numbered log events."""
+    """Numbered log events, documented in ``docs/LOG-EVENTS.md``."""
 
     # 100: every daemon.
     DAEMON_STARTED = 101
@@ -55,7 +55,7 @@
     JOB_SET_ASIDE = 405
     JOB_MAY_HAVE_RUN = 406
 
-    # 500: jobs and workers, as the leading core process decides.
+    # 500: jobs and workers, logged by the leading core process.
     TERM_BEGAN = 501
     TERM_ENDED = 502
     MANIFEST_ACCEPTED = 503
@@ -88,7 +88,7 @@
     VM_ORDER_FAILED = 544
     VM_MAINTAINED = 545
 
-    # 600: reaching the leading core process, and the border.
+    # 600: connections to the leading core process, settings, input checks.
     CORE_CONNECTED = 601
     CORE_LOST = 602
     CORE_UNREACHABLE = 603
--- a/src/wigeonreach/observe/_logs.py
+++ b/src/wigeonreach/observe/_logs.py
@@ -1,4 +1,4 @@
-"""Write structured logs of numbered events."""
+"""Write structured log lines of numbered events."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class LogFormat(enum.StrEnum):
-    """Whether logs are for programs or for people."""
+    """Format of log lines: JSON for programs, text for people."""
 
     JSON = 'json'
     TEXT = 'text'
@@ -34,7 +34,7 @@
 
 
 class Logger:
-    """Write numbered events of one process.
+    """Write the numbered events of one process.
 
     Parameters
     ----------
@@ -56,7 +56,7 @@
 
 
 class _SinkLogger:
-    """The end of structlog's chain: one method for each level."""
+    """Logger behind structlog, with a method for each level."""
 
     def __init__(self, sink: LineSink) -> None:
         self._sink = sink
@@ -65,14 +65,14 @@
         return lambda line: self._put(level, line)
 
     def _put(self, level: str, line: str) -> None:
-        omitted = self._sink.omitted_if_due()
+        omitted = self._sink.take_omitted_count()
         if omitted:
-            told = {
+            omission = {
                 'number': int(LogEvent.LINES_OMITTED),
                 'event': LogEvent.LINES_OMITTED.name.lower(),
                 'lines': omitted,
             }
-            self._sink.put(json.dumps(told).encode(), is_urgent=True)
+            self._sink.put(json.dumps(omission).encode(), is_urgent=True)
         self._sink.put(line.encode(), is_urgent=level in _URGENT)
 
 
@@ -81,22 +81,22 @@
     log_level: LogLevel,
     sink: LineSink | None = None,
 ) -> None:
-    """Send logs to standard output, without ever waiting for it.
+    """Send logs to standard output without blocking on it.
 
     Parameters
     ----------
     log_format
-        Shape of each line.
+        Format of each line.
     log_level
         Lowest level that is written.
     sink
-        Where lines go, if not to standard output.
+        Receives the lines; default: standard output.
     """
     renderer: structlog.typing.Processor = structlog.processors.JSONRenderer()
     if log_format is LogFormat.TEXT:
         renderer = structlog.dev.ConsoleRenderer(colors=False)
     level = logging.getLevelNamesMapping()[log_level.name]
-    end = _SinkLogger(sink or stdout_sink())
+    sink_logger = _SinkLogger(sink or stdout_sink())
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
@@ -104,7 +104,7 @@
             renderer,
         ],
         wrapper_class=structlog.make_filtering_bound_logger(level),
-        logger_factory=lambda *_: end,
+        logger_factory=lambda *_: sink_logger,
         cache_logger_on_first_use=True,
     )
     logging.basicConfig(level=logging.WARNING, stream=sys.stderr)
--- a/src/wigeonreach/observe/_metrics.py
+++ b/src/wigeonreach/observe/_metrics.py
@@ -1,4 +1,4 @@
-"""Keep counters and latency histograms and print them as a page."""
+"""Collect counters, gauges and latency histograms for Prometheus."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 class Metrics:
-    """Counters by name and label, and histograms by name."""
+    """Counters by name and reason, gauges and histograms by name."""
 
     def __init__(self) -> None:
-        """Start with nothing counted."""
+        """Start with no metrics."""
         self._counters: collections.Counter[tuple[str, str]] = (
             collections.Counter()
         )
@@ -33,18 +33,18 @@
         name
             Name of the counter.
         reason
-            Label that tells one cause from another.
+            Value of the label ``reason``; empty for no label.
         amount
             How much to add.
         """
         self._counters[name, reason] += amount
 
     def counted(self, name: str, reason: str = '') -> int:
-        """Return a counter."""
+        """Return the present value of a counter."""
         return self._counters[name, reason]
 
     def gauge(self, name: str, level: float) -> None:
-        """Set a gauge to its present level."""
+        """Set the value of a gauge."""
         self._gauges[name] = level
 
     def observe_s(self, name: str, elapsed_s: float) -> None:
--- a/src/wigeonreach/observe/_timeline.py
+++ b/src/wigeonreach/observe/_timeline.py
@@ -1,4 +1,4 @@
-"""Put the log lines of several processes about one id into one story."""
+"""Merge the log lines of several processes about one id."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LogLine:
-    """One structured line.
+    """One structured log line.
 
     Attributes
     ----------
     at_s
-        When it was written, by the clock of its machine, since 1970.
+        When it was written, in seconds since 1970 by its machine's clock.
     """
 
     at_s: float
@@ -30,26 +30,32 @@
     fields: Mapping[str, Any]
 
     def mentions(self, subject: str) -> bool:
-        """Whether any of its fields holds an id."""
+        """Whether any field contains an id."""
         return subject in json.dumps(self.fields)
 
     def text(self, offset_s: float) -> str:
-        """Return the line for a person, on a common clock."""
+        """Return the line as readable text.
+
+        Parameters
+        ----------
+        offset_s
+            How far the clock of its process is ahead, in seconds.
+        """
         moment = datetime.datetime.fromtimestamp(
             self.at_s - offset_s,
             datetime.UTC,
         )
-        facts = ' '.join(
-            f'{name}={told}'
-            for name, told in self.fields.items()
+        shown_fields = ' '.join(
+            f'{name}={content}'
+            for name, content in self.fields.items()
             if name not in _HIDDEN
         )
         stamp = moment.strftime('%H:%M:%S.%f')
-        return f'{stamp} {self.process} {self.event} {facts}'
+        return f'{stamp} {self.process} {self.event} {shown_fields}'
 
 
 def parse_lines(lines: Iterable[str]) -> list[LogLine]:
-    """Return the structured lines; what stands before a brace is skipped."""
+    """Return the structured lines, without any prefix before the JSON."""
     found: list[LogLine] = []
     for line in lines:
         start = line.find('{')
@@ -59,7 +65,7 @@
             fields = json.loads(line[start:])
             stamp = datetime.datetime.fromisoformat(fields['timestamp'])
         except (ValueError, KeyError, TypeError):
-            # Other programs' output, or a line that was cut off.
+            # Output of other programs, or a truncated line.
             continue
         found.append(
             LogLine(
@@ -73,10 +79,11 @@
 
 
 def clock_offsets(lines: Iterable[LogLine]) -> dict[str, float]:
-    """Return by how much each process's clock is ahead of the others.
+    """Return how far each process's clock is ahead, in seconds.
 
-    All processes hear of a new leader within milliseconds, so their lines
-    about it were written at the same time.
+    All processes learn of a new leader within milliseconds, so their lines
+    about it count as written at the same time.  The offset of a process is
+    its median distance to the median time of those lines.
     """
     by_leader: dict[str, list[LogLine]] = collections.defaultdict(list)
     term = ''
@@ -86,25 +93,26 @@
         if line.event == 'term_began':
             term = str(line.fields.get('term', ''))
         by_leader[term].append(line)
-    gaps_s: dict[str, list[float]] = collections.defaultdict(list)
-    for told in by_leader.values():
-        usual_s = statistics.median(line.at_s for line in told)
-        for heard in told:
-            gaps_s[heard.process].append(heard.at_s - usual_s)
+    deviations_s: dict[str, list[float]] = collections.defaultdict(list)
+    for group in by_leader.values():
+        median_s = statistics.median(line.at_s for line in group)
+        for member in group:
+            deviations_s[member.process].append(member.at_s - median_s)
     return {
-        process: statistics.median(gaps) for process, gaps in gaps_s.items()
+        process: statistics.median(deviations)
+        for process, deviations in deviations_s.items()
     }
 
 
 def describe_timeline(lines: Iterable[LogLine], subject: str) -> list[str]:
-    """Return the lines about an id, in the order in which they happened.
+    """Return the lines about an id, in order of corrected time.
 
     Parameters
     ----------
     lines
-        Of all processes.
+        Log lines of all processes.
     subject
-        A job, worker, VM or anything else that lines name.
+        Id of a job, worker, VM or anything else that lines mention.
     """
     known = list(lines)
     offsets_s = clock_offsets(known)
