--- a/src/wigeonreach/charts/__init__.py
+++ b/src/wigeonreach/charts/__init__.py
@@ -1,4 +1,4 @@
-"""Read state charts into tables that the code interprets."""
+"""State charts as transition tables."""
 
 from wigeonreach.charts._table import ChartTable, load_chart
 
--- a/src/wigeonreach/charts/__main__.py
+++ b/src/wigeonreach/charts/__main__.py
@@ -1,4 +1,4 @@
-"""Write ``tables.json`` from the chart files."""
+"""Generate ``tables.json`` from the chart files."""
 
 from wigeonreach.charts._reading import FOLDER, encode_all
 
--- a/src/wigeonreach/charts/_reading.py
+++ b/src/wigeonreach/charts/_reading.py
@@ -1,4 +1,4 @@
-"""Read chart files with sismic, which also checks them."""
+"""Load chart files with sismic, which also validates them."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def encode_all() -> str:
-    """Return the content of ``tables.json`` for the chart files."""
+    """Return the content of ``tables.json``, from the chart files."""
     tables = {
         path.stem: encode_table(read_chart(path.stem))
         for path in sorted(FOLDER.glob('*.yaml'))
@@ -25,20 +25,20 @@
 
 
 def read_chart(name: str) -> ChartTable:
-    """Read ``NAME.yaml`` of this package.
+    """Load ``NAME.yaml`` of this package.
 
     Raises
     ------
     ValueError
-        If the chart has transitions that need no event.
+        If the chart has a transition without an event.
     """
     chart = sismic_io.import_from_yaml(filepath=FOLDER / f'{name}.yaml')
     root = chart.state_for(chart.root)
     return ChartTable(
         initial=root.initial,
         states=frozenset(chart.children_for(chart.root)),
-        targets=MappingProxyType(_targets(chart)),
-        entries=MappingProxyType(_entries(chart)),
+        targets=MappingProxyType(_transition_targets(chart)),
+        entries=MappingProxyType(_entry_effects(chart)),
         actions=MappingProxyType(
             {
                 (transition.source, transition.event): transition.action
@@ -49,7 +49,7 @@
     )
 
 
-def _entries(chart: Statechart) -> dict[str, str]:
+def _entry_effects(chart: Statechart) -> dict[str, str]:
     states = {
         name: chart.state_for(name) for name in chart.children_for(chart.root)
     }
@@ -60,7 +60,7 @@
     }
 
 
-def _targets(chart: Statechart) -> dict[tuple[str, str], str]:
+def _transition_targets(chart: Statechart) -> dict[tuple[str, str], str]:
     targets: dict[tuple[str, str], str] = {}
     for transition in chart.transitions:
         if transition.event is None:
--- a/src/wigeonreach/charts/_table.py
+++ b/src/wigeonreach/charts/_table.py
@@ -16,11 +16,24 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ChartTable:
-    """The states of a flat chart and where each event leads.
+    """Transition table of a flat state chart.
 
-    A lookup costs a fraction of a microsecond, a step of an interpreter that
-    also runs guards and actions costs several hundred times that; guards stay
-    in the code, next to the data that they read.
+    A lookup takes a fraction of a microsecond; a step of an interpreter that
+    also runs guards and actions takes several hundred times as long.  Guards
+    are therefore in the code, next to the data that they read.
+
+    Attributes
+    ----------
+    initial
+        Initial state.
+    states
+        Names of all states.
+    targets
+        Target state by source state and event.
+    entries
+        Name of the effect of entering a state, by state.
+    actions
+        Name of the effect of a transition, by source state and event.
     """
 
     initial: str
@@ -30,11 +43,11 @@
     actions: Mapping[tuple[str, str], str]
 
     def step(self, state: str, event: str) -> str | None:
-        """Return the state that an event leads to, or None if not allowed."""
+        """Return the target state of an event, or None if not allowed."""
         return self.targets.get((state, event))
 
     def effects(self, state: str, event: str) -> tuple[str, ...]:
-        """Return the names of the effects of an event, in their order."""
+        """Return the names of the effects of an event, in order."""
         action = self.actions.get((state, event))
         entry = self.entries.get(self.targets.get((state, event), ''))
         return tuple(name for name in (action, entry) if name)
@@ -51,18 +64,18 @@
     """Return the chart of ``NAME.yaml`` of this package.
 
     The daemons read ``tables.json``, which ``python -m wigeonreach.charts``
-    writes from the charts: reading those takes sismic, which costs each
-    process 20 MB and its start a third of a second.
+    generates: loading the chart files themselves needs sismic, which costs
+    each process 20 MB of memory and a third of a second at start.
 
     Parameters
     ----------
     name
-        Name of the file, without its ending.
+        Name of the file without extension.
 
     Returns
     -------
     ChartTable
-        The table; sismic has checked the file.
+        The table, validated by sismic when it was generated.
     """
     return decode_table(_tables()[name])
 
@@ -79,7 +92,7 @@
 
 
 def decode_table(fields: Mapping[str, Any]) -> ChartTable:
-    """Return a table that ``encode_table`` wrote."""
+    """Return the table that ``encode_table`` encoded."""
     return ChartTable(
         initial=fields['initial'],
         states=frozenset(fields['states']),
