--- a/src/wigeonreach/text/__init__.py
+++ b/src/wigeonreach/text/__init__.py
@@ -1,4 +1,4 @@
-"""Read, check and describe the operator's text."""
+"""Parse, check and compare the operator's configuration text."""
 
 from wigeonreach.text._diff import Change, ChangeKind, diff_texts
 from wigeonreach.text._model import (
--- a/src/wigeonreach/text/_checks.py
+++ b/src/wigeonreach/text/_checks.py
@@ -1,4 +1,4 @@
-"""Check what one part of an operator's text says about another."""
+"""Check a configuration text for contradictions between its parts."""
 
 from __future__ import annotations
 
@@ -15,7 +15,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Finding:
-    """One reason to refuse a text."""
+    """One reason to reject a text.
+
+    Attributes
+    ----------
+    code
+        Numbered reason.
+    path
+        Table names and key at fault, outermost first.
+    allowed
+        Readable description of what is allowed.
+    """
 
     code: ResultCode
     path: tuple[str, ...]
@@ -23,23 +33,23 @@
 
 
 def find_faults(schema: TextSchema) -> Iterator[Finding]:
-    """Yield every cross-reference fault of a text.
+    """Yield every contradiction between the parts of a text.
 
     Parameters
     ----------
     schema
-        A text whose shape is valid.
+        A text that is valid by its schema.
 
     Yields
     ------
     Finding
-        One fault, with the path of the key at fault.
+        One contradiction, with the path of the key at fault.
     """
     yield from _unknown_references(schema)
     yield from _dependency_cycles(schema)
     yield from _vms_in_two_pools(schema)
     yield from _impossible_budgets(schema)
-    yield from _stricter_than_needed(schema)
+    yield from _budgets_below_dependencies(schema)
 
 
 def _unknown_references(schema: TextSchema) -> Iterator[Finding]:
@@ -117,24 +127,24 @@
     return pool is not None and not pool.vms
 
 
-def _stricter_than_needed(schema: TextSchema) -> Iterator[Finding]:
+def _budgets_below_dependencies(schema: TextSchema) -> Iterator[Finding]:
     for name, service in schema.services.items():
-        allowed = _missing_share(service)
+        allowed = _missing_fraction(service)
         for other in service.depends_on:
-            needed = schema.services.get(other)
-            # A service is missing while what it needs is missing.
-            if needed and _missing_share(needed) > allowed:
+            dependency = schema.services.get(other)
+            # A service is unavailable while one of its dependencies is.
+            if dependency and _missing_fraction(dependency) > allowed:
                 yield Finding(
                     ResultCode.TEXT_IMPOSSIBLE_BUDGET,
                     (_SERVICES, name, 'budget', 'missing_s'),
                     'at least the share of time that {0!r}, on which it'
                     ' depends, may be missing: {1:g} s in {2:g} s'.format(
                         other,
-                        needed.budget.missing_s,
-                        needed.budget.window_s,
+                        dependency.budget.missing_s,
+                        dependency.budget.window_s,
                     ),
                 )
 
 
-def _missing_share(service: ServiceSchema) -> float:
+def _missing_fraction(service: ServiceSchema) -> float:
     return service.budget.missing_s / service.budget.window_s
--- a/src/wigeonreach/text/_diff.py
+++ b/src/wigeonreach/text/_diff.py
@@ -1,4 +1,4 @@
-"""Say what a new text would change before it is applied."""
+"""Compare two configuration texts."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 from wigeonreach.text._model import FleetText, Pool, Service, ServiceMode
 
-_ALWAYS = frozenset(('name',))
+_IDENTITY_FIELDS = frozenset(('name',))
 
 
 class ChangeKind(enum.StrEnum):
-    """How a part of the text changes."""
+    """Kind of change of a part of the text."""
 
     ADDED = 'added'
     REMOVED = 'removed'
@@ -28,13 +28,13 @@
     Attributes
     ----------
     kind
-        ``TAKEN_OVER`` and ``GIVEN_BACK`` stand beside the change of a
-        service's mode, and ``after`` names the VMs that may be acted on
-        from then on, or no more.
+        ``TAKEN_OVER`` and ``GIVEN_BACK`` accompany a change of a service's
+        mode; ``after`` then names the VMs that become, or cease to be,
+        managed.
     path
-        Dotted key.
+        Dotted path of the key.
     before, after
-        The values, as text for a person; empty where there is none.
+        The values as readable text; empty if there is none.
     """
 
     kind: ChangeKind
@@ -43,27 +43,27 @@
     after: str
 
     def line(self) -> str:
-        """Return the change on one line."""
+        """Return the change as one line."""
         if self.kind is ChangeKind.CHANGED:
             return f'{self.path}: {self.before} -> {self.after}'
-        shown = self.after or self.before
-        return f'{self.path}: {self.kind} {shown}'.rstrip()
+        content = self.after or self.before
+        return f'{self.path}: {self.kind} {content}'.rstrip()
 
 
 def diff_texts(before: FleetText, after: FleetText) -> Iterator[Change]:
-    """Yield what a new text changes, table by table.
+    """Yield the differences between two texts, table by table.
 
     Parameters
     ----------
     before
         The text in force.
     after
-        The text proposed.
+        The proposed text.
 
     Yields
     ------
     Change
-        One difference; nothing if the texts mean the same.
+        One difference; none if the texts are equivalent.
     """
     yield from _diff_value('fleet.guard', before.guards, after.guards)
     yield from _diff_fields(
@@ -73,7 +73,7 @@
     )
     yield from _diff_tables('pools', before.pools, after.pools)
     yield from _diff_tables('services', before.services, after.services)
-    yield from _takeovers(before, after)
+    yield from _ownership_changes(before, after)
     yield from _diff_tables('teams', before.teams, after.teams)
 
 
@@ -92,7 +92,7 @@
 
 def _diff_fields(path: str, before: object, after: object) -> Iterator[Change]:
     for field in dataclasses.fields(before):  # type: ignore[arg-type]
-        if field.name in _ALWAYS:
+        if field.name in _IDENTITY_FIELDS:
             continue
         old = getattr(before, field.name)
         new = getattr(after, field.name)
@@ -105,27 +105,27 @@
 
 def _diff_value(path: str, before: object, after: object) -> Iterator[Change]:
     if before != after:
-        yield Change(ChangeKind.CHANGED, path, _show(before), _show(after))
+        yield Change(ChangeKind.CHANGED, path, _format(before), _format(after))
 
 
-def _show(shown: object) -> str:
-    if isinstance(shown, frozenset):
-        return ', '.join(sorted(str(part) for part in shown)) or 'none'
-    if isinstance(shown, tuple):
-        return ', '.join(str(part) for part in shown) or 'none'
-    return 'none' if shown is None else str(shown)
+def _format(content: object) -> str:
+    if isinstance(content, frozenset):
+        return ', '.join(sorted(str(part) for part in content)) or 'none'
+    if isinstance(content, tuple):
+        return ', '.join(str(part) for part in content) or 'none'
+    return 'none' if content is None else str(content)
 
 
-def _takeovers(before: FleetText, after: FleetText) -> Iterator[Change]:
+def _ownership_changes(before: FleetText, after: FleetText) -> Iterator[Change]:
     for name, service in after.services.items():
         old = before.services.get(name)
         was_managed = old is not None and old.mode is ServiceMode.MANAGED
         is_managed = service.mode is ServiceMode.MANAGED
         if was_managed != is_managed and (old or is_managed):
-            yield _takeover(service, after.pools)
+            yield _ownership_change(service, after.pools)
 
 
-def _takeover(service: Service, pools: Mapping[str, Pool]) -> Change:
+def _ownership_change(service: Service, pools: Mapping[str, Pool]) -> Change:
     pool = pools.get(service.pool or '')
     vms = pool.vms if pool else ()
     is_managed = service.mode is ServiceMode.MANAGED
@@ -133,5 +133,5 @@
         ChangeKind.TAKEN_OVER if is_managed else ChangeKind.GIVEN_BACK,
         f'services.{service.name}',
         '',
-        'VMs: {0}'.format(_show(vms)),
+        'VMs: {0}'.format(_format(vms)),
     )
--- a/src/wigeonreach/text/_lines.py
+++ b/src/wigeonreach/text/_lines.py
@@ -1,4 +1,4 @@
-"""Find the line on which a key of a TOML text stands."""
+"""Find the line number of a key in a TOML text."""
 
 from __future__ import annotations
 
@@ -18,23 +18,23 @@
     Returns
     -------
     int
-        One-based line number: of the key where it is written, else of the
-        innermost table that is written, else 1.
+        One-based line number of the key; if the key is absent, that of the
+        innermost table that is present, else 1.
     """
     best_line = 1
     best_depth = 0
     table: tuple[str, ...] = ()
     wanted = tuple(path)
     for number, line in enumerate(text.splitlines(), start=1):
-        here, table = _path_of(line.strip(), table)
-        depth = _common_depth(here, wanted)
-        if depth > best_depth and depth == len(here):
+        line_path, table = _parse_line(line.strip(), table)
+        depth = _common_depth(line_path, wanted)
+        if depth > best_depth and depth == len(line_path):
             best_line = number
             best_depth = depth
     return best_line
 
 
-def _path_of(
+def _parse_line(
     line: str,
     table: tuple[str, ...],
 ) -> tuple[tuple[str, ...], tuple[str, ...]]:
--- a/src/wigeonreach/text/_model.py
+++ b/src/wigeonreach/text/_model.py
@@ -1,4 +1,4 @@
-"""Hold a checked operator's text as plain immutable data."""
+"""Immutable data classes for a checked configuration text."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class FailureDomain(enum.StrEnum):
-    """What may fail as a whole and must be survived."""
+    """Group of VMs that may fail together."""
 
     VM = 'vm'
     RACK = 'rack'
@@ -16,7 +16,7 @@
 
 
 class ServiceMode(enum.StrEnum):
-    """Whether a service's VMs are acted on or only counted."""
+    """Whether the VMs of a service are managed or only counted."""
 
     MANAGED = 'managed'
     WATCHED = 'watched'
@@ -24,7 +24,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Budget:
-    """How much of a service may be missing, and for how long."""
+    """How much of a service may be unavailable, and for how long.
+
+    Attributes
+    ----------
+    missing_ratio
+        Share of the service that may be unavailable.
+    missing_s
+        How long the service may be unavailable within a window.
+    window_s
+        Length of the window.
+    """
 
     missing_ratio: float
     missing_s: float
@@ -33,16 +43,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Service:
-    """One service that callers ask for by name.
+    """One service that callers address by name.
 
     Attributes
     ----------
     promised_slots
-        Capacity promised.
+        Capacity guaranteed to callers.
     guards
-        Failure domains that it must survive; None for those of the fleet.
+        Failure domains whose loss it must survive; None for the default of
+        the fleet.
     deferrable_ratio
-        Share of the promised slots whose work can be throttled, or
+        Share of the promised slots whose tasks may be throttled, or
         checkpointed and stopped, while a failure domain is lost.
     """
 
@@ -69,7 +80,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Team:
-    """A group of callers with a share and a quota."""
+    """A group of callers with a weighted share and a quota."""
 
     name: str
     weight: float
@@ -79,7 +90,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Maintenance:
-    """When waves may run and how often each VM must be maintained."""
+    """Daily window of maintenance waves and the period between two of a VM."""
 
     period_s: float
     window_start_s: float
@@ -88,7 +99,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FleetText:
-    """The whole checked text."""
+    """A whole checked configuration text."""
 
     name: str
     guards: frozenset[FailureDomain]
--- a/src/wigeonreach/text/_parse.py
+++ b/src/wigeonreach/text/_parse.py
@@ -1,4 +1,4 @@
-"""Turn an operator's TOML text into checked data, or refuse it whole."""
+"""Parse a TOML configuration text into checked data, or reject it."""
 
 from __future__ import annotations
 
@@ -32,12 +32,12 @@
 
 
 def parse_fleet_text(text: str) -> FleetText:
-    """Check a text and return it as data.
+    """Parse and check a configuration text.
 
     Parameters
     ----------
     text
-        The operator's TOML.
+        TOML written by the operator.
 
     Returns
     -------
@@ -47,14 +47,14 @@
     Raises
     ------
     FleetTextError
-        If anything is wrong; nothing of the text is used then.  The message
-        gives line, key and what is allowed.
+        If any part is invalid; the whole text is then rejected.  The message
+        gives the line, the key and what is allowed.
     """
     schema = _validate(text, _load(text))
     fault = next(find_faults(schema), None)
     if fault is not None:
         raise _refusal(text, fault.code, fault.path, fault.allowed)
-    return fleet_of(schema)
+    return convert_schema(schema)
 
 
 def _load(text: str) -> dict[str, object]:
@@ -62,7 +62,7 @@
         return tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
         found = _LINE_PATTERN.search(str(error))
-        # Without a number the fault is at the end of the text.
+        # A message without a line number refers to the end of the text.
         line = found.group(1) if found else str(len(text.splitlines()))
         raise FleetTextError(
             ResultCode.TEXT_SYNTAX,
@@ -111,8 +111,8 @@
     return FleetTextError(code, f'line {line}: {key}: {allowed}')
 
 
-def fleet_of(schema: TextSchema) -> FleetText:
-    """Return a checked text as data."""
+def convert_schema(schema: TextSchema) -> FleetText:
+    """Convert a validated schema to data classes."""
     maintenance = schema.maintenance
     return FleetText(
         name=schema.fleet.name,
--- a/src/wigeonreach/text/_reader.py
+++ b/src/wigeonreach/text/_reader.py
@@ -1,8 +1,8 @@
-"""Read one version of a text after the other, each part once.
+"""Parse successive versions of a text, each unchanged table only once.
 
-Reading TOML costs about a third of a millisecond a kilobyte.  A change mostly
-touches one table of many, so the tables of the last version are kept by their
-own text and only new ones are read.
+Parsing TOML costs about a third of a millisecond per kilobyte.  Most changes
+affect one table of many, so the parsed tables of the last version are cached by
+their source text and only new ones are parsed.
 """
 
 from __future__ import annotations
@@ -16,21 +16,21 @@
 from wigeonreach.rollout import split_sections
 from wigeonreach.text._checks import find_faults
 from wigeonreach.text._model import FleetText
-from wigeonreach.text._parse import fleet_of, parse_fleet_text
+from wigeonreach.text._parse import convert_schema, parse_fleet_text
 from wigeonreach.text._schema import TextSchema
 
 _ARRAY_OF_TABLES = '[['
 
 
 class TextReader:
-    """Turn texts into data, keeping what the last one had in common."""
+    """Parse texts, reusing the tables that the last text shares."""
 
     def __init__(self) -> None:
-        """Know no table yet."""
+        """Start with no cached tables."""
         self._tables: dict[str, dict[str, Any]] = {}
 
     def read(self, text: str) -> FleetText:
-        """Return a text as data.
+        """Parse and check a configuration text.
 
         Parameters
         ----------
@@ -40,26 +40,27 @@
         Returns
         -------
         FleetText
-            The same as ``parse_fleet_text`` returns.
+            The same result as from ``parse_fleet_text``.
 
         Raises
         ------
         FleetTextError
-            If anything is wrong.
+            If any part is invalid.
         """
         try:
             schema = TextSchema.model_validate(self._load(text))
         except (tomllib.TOMLDecodeError, pydantic.ValidationError):
-            # A string over several lines may look like a table in its middle;
-            # an error needs the line in the whole text.
+            # A line of a multi-line string may look like a table header, which
+            # splits the text wrongly; and an error message needs the line
+            # number within the whole text.
             return parse_fleet_text(text)
         if next(find_faults(schema), None) is not None:
             return parse_fleet_text(text)
-        return fleet_of(schema)
+        return convert_schema(schema)
 
     def _load(self, text: str) -> dict[str, Any]:
         tables: dict[str, dict[str, Any]] = {}
-        whole: dict[str, Any] = {}
+        merged: dict[str, Any] = {}
         headers: set[str] = set()
         for section in split_sections(text):
             header = section.partition(']')[0]
@@ -70,28 +71,28 @@
             if table is None:
                 table = tomllib.loads(section)
             tables[section] = table
-            _merge(whole, table)
+            _merge(merged, table)
         self._tables = tables
-        return whole
+        return merged
 
 
-def _merge(whole: dict[str, Any], table: Mapping[str, Any]) -> None:
+def _merge(merged: dict[str, Any], table: Mapping[str, Any]) -> None:
     for key, inner in table.items():
-        known = whole.get(key)
-        if known is None:
-            # Tables are kept for the next text, so they are not grown here.
-            whole[key] = _copied(inner)
+        existing = merged.get(key)
+        if existing is None:
+            # Copied, since cached tables are reused and must not be modified.
+            merged[key] = _copy_tables(inner)
         else:
-            _merge_known(known, inner, key)
+            _merge_existing(existing, inner, key)
 
 
-def _merge_known(known: Any, inner: Any, key: str) -> None:
-    if not isinstance(known, dict) or not isinstance(inner, dict):
-        raise tomllib.TOMLDecodeError(f'{key} stands twice')
-    _merge(known, inner)
+def _merge_existing(existing: Any, inner: Any, key: str) -> None:
+    if not isinstance(existing, dict) or not isinstance(inner, dict):
+        raise tomllib.TOMLDecodeError(f'duplicate key: {key}')
+    _merge(existing, inner)
 
 
-def _copied(inner: Any) -> Any:
+def _copy_tables(inner: Any) -> Any:
     if not isinstance(inner, dict):
         return inner
-    return {key: _copied(deeper) for key, deeper in inner.items()}
+    return {key: _copy_tables(nested) for key, nested in inner.items()}
--- a/src/wigeonreach/text/_schema.py
+++ b/src/wigeonreach/text/_schema.py
@@ -1,4 +1,4 @@
-"""Validate the shape of an operator's text at the border."""
+"""Schemas that validate the structure of a configuration text."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 DAY_S = 86_400.0
 
 
-class _Strict(pydantic.BaseModel):
-    """Refuse keys that the format does not know."""
+class _StrictModel(pydantic.BaseModel):
+    """Base of all schemas; rejects unknown keys."""
 
     model_config = pydantic.ConfigDict(extra='forbid', frozen=True)
 
 
-class FleetSchema(_Strict):
+class FleetSchema(_StrictModel):
     """The ``[fleet]`` table."""
 
     name: Name
     guard: frozenset[FailureDomain] = frozenset(FailureDomain)
 
 
-class BudgetSchema(_Strict):
+class BudgetSchema(_StrictModel):
     """The ``[services.NAME.budget]`` table."""
 
     missing_ratio: Ratio = 0.25
@@ -38,7 +38,7 @@
     window_s: PositiveSeconds = DAY_S
 
 
-class ServiceSchema(_Strict):
+class ServiceSchema(_StrictModel):
     """One ``[services.NAME]`` table."""
 
     mode: ServiceMode = ServiceMode.MANAGED
@@ -53,13 +53,13 @@
     budget: BudgetSchema = BudgetSchema()
 
 
-class PoolSchema(_Strict):
+class PoolSchema(_StrictModel):
     """One ``[pools.NAME]`` table."""
 
     vms: tuple[str, ...] = ()
 
 
-class TeamSchema(_Strict):
+class TeamSchema(_StrictModel):
     """One ``[teams.NAME]`` table."""
 
     weight: Annotated[float, pydantic.Field(gt=0)] = 1.0
@@ -67,7 +67,7 @@
     urgent_ratio: Ratio = 0.2
 
 
-class MaintenanceSchema(_Strict):
+class MaintenanceSchema(_StrictModel):
     """The ``[maintenance]`` table."""
 
     period_s: PositiveSeconds = 42 * DAY_S
@@ -75,7 +75,7 @@
     window_length_s: Annotated[float, pydantic.Field(gt=0, le=DAY_S)] = DAY_S
 
 
-class TextSchema(_Strict):
+class TextSchema(_StrictModel):
     """The whole text."""
 
     fleet: FleetSchema
--- a/tests/text/test_diff.py
+++ b/tests/text/test_diff.py
@@ -1,4 +1,4 @@
-"""Test what is said of a new text before it is applied."""
+"""Test the differences between texts, and the checks of budgets."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
     """Differences between two texts."""
 
     def test_same(self) -> None:
-        """Texts that mean the same differ in nothing."""
+        """Equal texts have no differences."""
         text = build_fleet_text()
 
         self.assertThat(list(diff_texts(text, text)), Equals([]))
 
     def test_takeover(self) -> None:
-        """Taking a service over names each VM that may be touched."""
+        """Setting a service to managed lists each VM that becomes managed."""
         before = build_fleet_text(_WATCHED)
         lines = [
             change.line() for change in diff_texts(before, build_fleet_text())
@@ -45,10 +45,10 @@
 
 
 class TestBudgetChecks(testtools.TestCase):
-    """Budgets that can't be kept."""
+    """Budgets that can't be met."""
 
-    def test_stricter_than_needed(self) -> None:
-        """A service can't be missing for less than what it depends on."""
+    def test_stricter_than_dependency(self) -> None:
+        """A budget can't be stricter than that of a dependency."""
         strict = (
             '[services.front]\ndepends_on = ["desk"]\n'
             '[services.front.budget]\nmissing_s = 60\n'
--- a/tests/text/test_parse.py
+++ b/tests/text/test_parse.py
@@ -1,4 +1,4 @@
-"""Test that a text is read, or refused whole with line and key."""
+"""Test that a text is parsed, or rejected with line and key."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class TestParseFleetText(testtools.TestCase):
-    """Reading of operators' texts."""
+    """Parsing of configuration texts."""
 
     def test_valid(self) -> None:
-        """A valid text becomes services by name with their defaults."""
+        """The services of a valid text are available by name."""
         text = parse_fleet_text(SAMPLE_TEXT)
 
         self.assertThat(
@@ -24,11 +24,11 @@
         )
 
     def test_syntax(self) -> None:
-        """A text that is no TOML is refused with its line."""
+        """A text that is not valid TOML is rejected with the line."""
         self._assert_refused('[fleet]\nname =', ResultCode.TEXT_SYNTAX, 2)
 
     def test_unknown_key(self) -> None:
-        """An unknown key is refused and the allowed ones are named."""
+        """An unknown key is rejected and the allowed keys are listed."""
         error = self._assert_refused(
             '{0}color = "red"\n'.format(SAMPLE_TEXT),
             ResultCode.TEXT_UNKNOWN_KEY,
@@ -38,7 +38,7 @@
         self.assertThat(error.detail, Contains('promised_slots'))
 
     def test_unknown_dependency(self) -> None:
-        """A dependency that is no service is refused."""
+        """A dependency on an unknown service is rejected."""
         self._assert_refused(
             SAMPLE_TEXT.replace('["records"]', '["record"]'),
             ResultCode.TEXT_UNKNOWN_REFERENCE,
@@ -46,7 +46,7 @@
         )
 
     def test_cycle(self) -> None:
-        """Dependencies that form a cycle are refused."""
+        """Dependencies that form a cycle are rejected."""
         self._assert_refused(
             SAMPLE_TEXT.replace('["records"]', '["portal"]'),
             ResultCode.TEXT_DEPENDENCY_CYCLE,
@@ -54,7 +54,7 @@
         )
 
     def test_vm_in_two_pools(self) -> None:
-        """A VM that stands in two pools is refused."""
+        """A VM that is listed in two pools is rejected."""
         pools = '[pools.a]\nvms = ["x"]\n[pools.b]\nvms = ["x"]\n'
         self._assert_refused(
             SAMPLE_TEXT + pools,
@@ -63,7 +63,7 @@
         )
 
     def test_impossible_budget(self) -> None:
-        """A budget longer than its window is refused."""
+        """A budget longer than its window is rejected."""
         budget = '[services.portal.budget]\nmissing_s = 9\nwindow_s = 3\n'
         self._assert_refused(
             SAMPLE_TEXT + budget,
--- a/tests/text/test_reader.py
+++ b/tests/text/test_reader.py
@@ -1,4 +1,4 @@
-"""Test that reading part by part gives what reading the whole gives."""
+"""Test that incremental parsing gives the same as parsing the whole."""
 
 from __future__ import annotations
 
@@ -20,26 +20,28 @@
 
 
 class TestReader(testtools.TestCase):
-    """Versions that follow each other."""
+    """Successive versions of a text."""
 
     def test_same_data(self) -> None:
-        """Each version is read as it would be alone."""
+        """Each version gives the same data as when parsed alone."""
         reader = TextReader()
         for text in _VERSIONS:
             self.assertThat(reader.read(text), Equals(parse_fleet_text(text)))
 
     def test_table_in_string(self) -> None:
-        """A line in a string that looks like a table is no table."""
+        """A line of a multi-line string is not taken for a table header."""
         reader = TextReader()
         text = f'{SAMPLE_TEXT}[teams."""\n[services.x]\n"""]\n'
 
         error = self.assertRaises(FleetTextError, reader.read, text)
 
-        alone = self.assertRaises(FleetTextError, parse_fleet_text, text)
-        self.assertThat(str(error), Equals(str(alone)))
+        whole_text_error = self.assertRaises(
+            FleetTextError, parse_fleet_text, text
+        )
+        self.assertThat(str(error), Equals(str(whole_text_error)))
 
-    def test_twice(self) -> None:
-        """A table that stands twice is refused as in the whole text."""
+    def test_duplicate_table(self) -> None:
+        """A duplicate table is rejected, as when parsing the whole text."""
         text = f'{SAMPLE_TEXT}[services.portal]\npromised_slots = 1\n'
 
         error = self.assertRaises(FleetTextError, TextReader().read, text)
