--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,7 +1,8 @@
-"""Run the tests that KNOWN-RED.txt lists, and let a run pass over just these.
+"""Expect the tests listed in KNOWN-RED.txt to fail, and only these.
 
-A listed test that fails is printed and passed over; one that passes, or that
-is not there, fails the run, so that the list can't outlive its faults.
+A listed test that fails is printed and does not fail the run.  A listed test
+that passes or does not exist fails the run, so that no entry outlives its
+fault.
 """
 
 from __future__ import annotations
@@ -13,31 +14,31 @@
 import pytest
 
 FILE_NAME = 'KNOWN-RED.txt'
-# More would hide what a run has to say.
-MOST_ENTRIES = 3
-# Test, command with its seed, what was seen, and the open issue.
+# More expected failures would make the result of a run hard to interpret.
+MAX_ENTRIES = 3
+# Test, command with seed, observed failure and open issue.
 _FIELDS = 4
 _SEPARATOR = ' | '
 
 
 class KnownRedError(ValueError):
-    """The list itself can't be taken."""
+    """The list is malformed or too long."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KnownRed:
-    """One test that fails for a fault that is not mended yet.
+    """One test that fails because of a fault that is not fixed yet.
 
     Attributes
     ----------
     test
-        As the test runner names it: FILE::CLASS::TEST.
+        Node id of pytest: FILE::CLASS::TEST.
     command
-        That brings the failure about, with its seed.
+        Command that reproduces the failure, with its seed.
     seen
-        What was seen.
+        Observed failure.
     issue
-        Where the fault is open.
+        Open issue about the fault.
     """
 
     test: str
@@ -47,47 +48,47 @@
 
     @property
     def file(self) -> str:
-        """The file that the test stands in."""
+        """File that contains the test."""
         return self.test.split('::', maxsplit=1)[0]
 
 
 def read_entries(text: str) -> tuple[KnownRed, ...]:
-    """Return the tests that a list names, one a line.
+    """Parse a list with one entry per line.
 
     Raises
     ------
     KnownRedError
-        If a line has other fields, or there are too many of them.
+        If a line does not have four fields, or there are too many lines.
     """
     lines = [line.strip() for line in text.splitlines() if line.strip()]
-    if len(lines) > MOST_ENTRIES:
-        raise KnownRedError(f'{len(lines)} entries, {MOST_ENTRIES} at most')
-    return tuple(_entry(line) for line in lines)
+    if len(lines) > MAX_ENTRIES:
+        raise KnownRedError(f'{len(lines)} entries, {MAX_ENTRIES} at most')
+    return tuple(_parse_entry(line) for line in lines)
 
 
-def _entry(line: str) -> KnownRed:
+def _parse_entry(line: str) -> KnownRed:
     fields = line.split(_SEPARATOR)
     if len(fields) != _FIELDS or not all(fields):
         raise KnownRedError(f'not test | command | seen | issue: {line}')
     return KnownRed(*fields)
 
 
-def missing_of(
+def find_missing(
     entries: Collection[KnownRed],
     collected: Collection[str],
     root: pathlib.Path,
 ) -> list[str]:
-    """Return the listed tests that are not there.
+    """Return the listed tests that do not exist.
 
     Parameters
     ----------
     entries
-        What is listed.
+        Listed tests.
     collected
-        Names of the tests that were found; of a file that was not asked for
-        there are none.
+        Node ids of the collected tests; a file that was not selected has
+        none, and its entries are not missing.
     root
-        Under which the files are.
+        Folder that the file names are relative to.
     """
     files = {name.split('::', maxsplit=1)[0] for name in collected}
     return [
@@ -99,14 +100,14 @@
 
 
 class KnownRedPlugin:
-    """Apply a list to one run.
+    """Pytest plugin that applies the list to one run.
 
     Parameters
     ----------
     entries
-        What is listed.
+        Listed tests.
     root
-        Under which the files are.
+        Folder that the file names are relative to.
     """
 
     def __init__(
@@ -114,16 +115,16 @@
         entries: Sequence[KnownRed],
         root: pathlib.Path,
     ) -> None:
-        """Pass over nothing yet."""
+        """Start with no expected failure seen."""
         self._entries = {entry.test: entry for entry in entries}
         self._root = root
-        self._passed_over: list[str] = []
+        self._expected_failures: list[str] = []
 
     @pytest.hookimpl(tryfirst=True)
     def pytest_collection_modifyitems(self, items: list[pytest.Item]) -> None:
-        """Expect listed tests to fail; refuse a list that names others."""
+        """Mark listed tests as expected failures; reject unknown tests."""
         collected = {item.nodeid for item in items}
-        missing = missing_of(self._entries.values(), collected, self._root)
+        missing = find_missing(self._entries.values(), collected, self._root)
         if missing:
             raise pytest.UsageError(f'{FILE_NAME}: no such test: {missing}')
         for item in items:
@@ -133,17 +134,17 @@
                 item.add_marker(mark)
 
     def pytest_runtest_logreport(self, report: pytest.TestReport) -> None:
-        """Take note of what is passed over."""
-        is_passed_over = hasattr(report, 'wasxfail')
-        if is_passed_over and report.nodeid in self._entries:
-            self._passed_over.append(report.nodeid)
+        """Record listed tests that failed as expected."""
+        is_expected_failure = hasattr(report, 'wasxfail')
+        if is_expected_failure and report.nodeid in self._entries:
+            self._expected_failures.append(report.nodeid)
 
     def pytest_terminal_summary(
         self,
         terminalreporter: pytest.TerminalReporter,
     ) -> None:
-        """Print what was passed over."""
-        for test in self._passed_over:
+        """Print the expected failures."""
+        for test in self._expected_failures:
             entry = self._entries[test]
             terminalreporter.write_line(
                 f'known red, passed over: {entry.test}: {entry.seen}'
@@ -152,7 +153,7 @@
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    """Apply the list of the repository, if there is one."""
+    """Register the plugin if the repository has a list."""
     path = config.rootpath / FILE_NAME
     if not path.is_file():
         return
--- a/tests/test_codes.py
+++ b/tests/test_codes.py
@@ -1,4 +1,4 @@
-"""Test that each number stands in the docs."""
+"""Test that each result code and log event is documented."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class TestNumbers(testtools.TestCase):
-    """Tables of numbers in the docs."""
+    """Numbered codes and events in the docs."""
 
     def test_result_codes(self) -> None:
         """Each result code has a row."""
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""Test that a run passes over listed tests that fail, and over no others."""
+"""Test that only listed tests may fail without failing the run."""
 
 from __future__ import annotations
 
@@ -28,10 +28,10 @@
 
 
 class TestKnownRed(testtools.TestCase):
-    """What a run makes of the list."""
+    """Effect of the list on a run."""
 
     def setUp(self) -> None:
-        """Make a project with one test that fails."""
+        """Create a project with one test that fails."""
         super().setUp()
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
@@ -40,7 +40,7 @@
         (self.root / 'pytest.ini').write_text('[pytest]\n')
 
     def run_tests(self, listed: str | None) -> subprocess.CompletedProcess[str]:
-        """Run the project's tests under a list."""
+        """Run the tests of the project with a list."""
         if listed is not None:
             (self.root / 'KNOWN-RED.txt').write_text(listed)
         options = ('-p', 'tests.known_red', '-p', 'no:cacheprovider')
@@ -54,12 +54,12 @@
         )
 
     def test_without_a_list_a_failure_counts(self) -> None:
-        """Nothing is passed over that is not listed."""
+        """A failure that is not listed fails the run."""
         run = self.run_tests(None)
         self.assertThat(run.returncode, matchers.Equals(1))
 
     def test_listed_failure_is_passed_over_and_printed(self) -> None:
-        """The test runs, and the run says that it was passed over."""
+        """A listed test still runs; its failure is printed and tolerated."""
         run = self.run_tests(_FAILS + _REST)
         self.assertThat(run.returncode, matchers.Equals(0))
         self.assertThat(run.stdout, matchers.Contains('1 passed, 1 xfailed'))
@@ -67,25 +67,25 @@
         self.assertThat(run.stdout, matchers.Contains(line))
 
     def test_listed_test_that_passes_fails_the_run(self) -> None:
-        """A fault that is mended has to leave the list."""
+        """A fixed fault must be removed from the list."""
         run = self.run_tests(_FAILS + _REST + _PASSES + _REST)
         self.assertThat(run.returncode, matchers.Equals(1))
 
-    def test_other_failures_count_beside_a_list(self) -> None:
-        """Only what is listed is passed over."""
+    def test_unlisted_failures_count_despite_a_list(self) -> None:
+        """Only listed failures are tolerated."""
         (self.root / 'test_other.py').write_text(_TESTS)
         run = self.run_tests(_FAILS + _REST)
         self.assertThat(run.returncode, matchers.Equals(1))
 
-    def test_listed_test_that_is_not_there_fails_the_run(self) -> None:
-        """A test that was renamed or removed can't stay listed."""
+    def test_listed_test_that_does_not_exist_fails_the_run(self) -> None:
+        """A renamed or removed test must be removed from the list."""
         for test in (f'{_FAILS}_gone', 'test_gone.py::TestIt::test_fails'):
             run = self.run_tests(test + _REST)
             self.assertThat(run.returncode, matchers.Not(matchers.Equals(0)))
             self.assertThat(run.stderr, matchers.Contains('no such test'))
 
-    def test_list_that_is_too_long_or_unclear_fails_the_run(self) -> None:
-        """Three entries at most, each with its four fields."""
+    def test_list_that_is_too_long_or_malformed_fails_the_run(self) -> None:
+        """The list has at most three entries, each with four fields."""
         for listed in ((_FAILS + _REST) * 4, _FAILS):
             run = self.run_tests(listed)
             self.assertThat(run.returncode, matchers.Not(matchers.Equals(0)))
