--- a/src/wigeonreach/cli/_explain_command.py
+++ b/src/wigeonreach/cli/_explain_command.py
@@ -144,7 +144,7 @@
 def _placement_reasons(text: FleetText, version: int, vm: str) -> Iterator[str]:
     for pool in text.pools.values():
         if vm in pool.vms:
-            yield f'in pool {pool.name} since the text says so (v{version})'
+            yield f'in pool {pool.name} as configured in version {version}'
             yield from _service_reasons(text, pool.name)
 
 
--- a/src/wigeonreach/cli/_maintenance_commands.py
+++ b/src/wigeonreach/cli/_maintenance_commands.py
@@ -118,7 +118,7 @@
         )
         age_min = (time.time() - line.started_at_s) / 60
         typer.echo(f'{line.wave_id:<16} {line.phase:<9} {age_min:.0f} min')
-        typer.echo(f'  VMs: {counts or "not taken up yet"}')
+        typer.echo(f'  VMs: {counts or "none started yet"}')
         if line.waits_for:
             typer.echo(f'  waits for: {line.waits_for}')
 
--- a/src/wigeonreach/cli/_trace_command.py
+++ b/src/wigeonreach/cli/_trace_command.py
@@ -35,6 +35,6 @@
         lines.extend(sys.stdin)
     timeline = describe_timeline(parse_lines(lines), subject)
     if not timeline:
-        exit_with_message(ExitCode.REFUSED, f'no line names {subject}')
+        exit_with_message(ExitCode.REFUSED, f'no log line mentions {subject}')
     for line in timeline:
         typer.echo(line)
--- a/src/wigeonreach/observe/_lines.py
+++ b/src/wigeonreach/observe/_lines.py
@@ -18,7 +18,7 @@
 
 @dataclasses.dataclass(slots=True)
 class TokenBucket:
-    """A token bucket.
+    """Token bucket that limits the rate of log lines.
 
     Attributes
     ----------
@@ -70,8 +70,8 @@
 
     def put(self, line: bytes, is_urgent: bool) -> None:
         """Write a line, or count it as omitted."""
-        budget = self._urgent_limit if is_urgent else self._ordinary_limit
-        if not budget.take(self._clock_s()) or not self._flush():
+        limit = self._urgent_limit if is_urgent else self._ordinary_limit
+        if not limit.take(self._clock_s()) or not self._flush():
             self.omitted += 1
             return
         self._unwritten = b''.join((line, b'\n'))
--- a/src/wigeonreach/text/_checks.py
+++ b/src/wigeonreach/text/_checks.py
@@ -64,14 +64,14 @@
             yield Finding(
                 ResultCode.TEXT_UNKNOWN_REFERENCE,
                 (_SERVICES, name, _DEPENDS_ON),
-                f'{unknown[0]!r} is no service; allowed: {known}',
+                f'{unknown[0]!r} is not a service; allowed: {known}',
             )
         if service.pool is not None and service.pool not in schema.pools:
             pools = ', '.join(sorted(schema.pools))
             yield Finding(
                 ResultCode.TEXT_UNKNOWN_REFERENCE,
                 (_SERVICES, name, 'pool'),
-                f'{service.pool!r} is no pool; allowed: {pools}',
+                f'{service.pool!r} is not a pool; allowed: {pools}',
             )
 
 
