--- a/src/wigeonreach/observe/_events.py
+++ b/src/wigeonreach/observe/_events.py
@@ -88,7 +88,7 @@
     VM_ORDER_FAILED = 544
     VM_MAINTAINED = 545
 
-    # 600: connections to the leading core process, settings, input checks.
+    # 600: connections to the leading core process, and the platform adapter.
     CORE_CONNECTED = 601
     CORE_LOST = 602
     CORE_UNREACHABLE = 603
--- a/src/wigeonreach/text/_model.py
+++ b/src/wigeonreach/text/_model.py
@@ -29,9 +29,10 @@
     Attributes
     ----------
     missing_ratio
-        Share of the service that may be unavailable.
+        Share of the promised slots that may be missing.
     missing_s
-        How long the service may be unavailable within a window.
+        How long, within a window, the service or one that it depends on may
+        lack slots.
     window_s
         Length of the window.
     """
