--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Disturb real core processes at random while callers and workers use them."""
+"""Inject random faults into core processes while clients use them."""
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Play runs by their seeds, or fresh ones for some minutes."""
+"""Run soak tests for given seeds, or random seeds for some minutes."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 import typer
 
-from soak._play import Outcome, Shape, play
+from soak._play import Outcome, RunConfig, run_soak
 from wigeonreach.observe import LogFormat, LogLevel, configure_logs
 
 _S_PER_MIN = 60
@@ -53,30 +53,30 @@
         typer.Option(help='Where logs of failed runs stay.'),
     ] = _FOLDER,
 ) -> None:
-    """Disturb core processes at random and check what they promise."""
-    chosen: Iterable[int] = list(_parse(seeds))
+    """Inject random faults into core processes and check invariants."""
+    chosen: Iterable[int] = list(_parse_seeds(seeds))
     if regressions:
-        chosen = [*chosen, *_failed_once()]
+        chosen = [*chosen, *_regression_seeds()]
     if minutes:
-        chosen = _fresh(minutes * _S_PER_MIN)
-    shape = Shape(losses, spares, length_s)
-    work = functools.partial(_play_one, shape=shape, folder=folder)
+        chosen = _fresh_seeds(minutes * _S_PER_MIN)
+    config = RunConfig(losses, spares, length_s)
+    work = functools.partial(_run_one, config=config, folder=folder)
     failed = 0
     passed = 0
-    for outcome in _play_all(work, chosen, at_once):
-        _tell(outcome)
-        failed += bool(outcome.broken)
-        passed += not outcome.broken
+    for outcome in _run_all(work, chosen, at_once):
+        _print_outcome(outcome)
+        failed += bool(outcome.violations)
+        passed += not outcome.violations
     typer.echo(f'{passed} passed, {failed} failed')
     raise typer.Exit(1 if failed else 0)
 
 
-def _play_all(
+def _run_all(
     work: functools.partial[Outcome],
     seeds: Iterable[int],
     at_once: int,
 ) -> Iterator[Outcome]:
-    """Play as many runs at once as allowed, in processes of their own."""
+    """Run seeds in parallel, at most ``at_once``, each in its own process."""
     waiting: set[futures.Future[Outcome]] = set()
     with futures.ProcessPoolExecutor(at_once) as pool:
         for seed in seeds:
@@ -91,39 +91,39 @@
             yield last.result()
 
 
-def _play_one(seed: int, shape: Shape, folder: pathlib.Path) -> Outcome:
+def _run_one(seed: int, config: RunConfig, folder: pathlib.Path) -> Outcome:
     own = folder / f'{seed}'
     shutil.rmtree(own, ignore_errors=True)
     own.mkdir(parents=True)
     configure_logs(LogFormat.JSON, LogLevel.ERROR)
-    outcome = play(seed, shape, own.absolute())
-    if not outcome.broken:
+    outcome = run_soak(seed, config, own.absolute())
+    if not outcome.violations:
         shutil.rmtree(own)
     return outcome
 
 
-def _tell(outcome: Outcome) -> None:
+def _print_outcome(outcome: Outcome) -> None:
     counted = sorted(outcome.counts.items())
     counts = ', '.join(f'{name} {number}' for name, number in counted)
-    word = 'FAILED' if outcome.broken else 'passed'
+    word = 'FAILED' if outcome.violations else 'passed'
     typer.echo(f'seed {outcome.seed}: {word}; {counts}')
-    for broken in outcome.broken:
-        typer.echo(f'    {broken}')
+    for violation in outcome.violations:
+        typer.echo(f'    {violation}')
 
 
-def _parse(seeds: str) -> Iterator[int]:
+def _parse_seeds(seeds: str) -> Iterator[int]:
     for part in filter(None, seeds.split(',')):
         first, _, last = part.partition('-')
         yield from range(int(first), int(last or first) + 1)
 
 
-def _failed_once() -> Iterator[int]:
+def _regression_seeds() -> Iterator[int]:
     for line in _REGRESSIONS.read_text().splitlines():
         if line and not line.startswith('#'):
             yield int(line.split()[0])
 
 
-def _fresh(length_s: float) -> Iterator[int]:
+def _fresh_seeds(length_s: float) -> Iterator[int]:
     until_s = time.monotonic() + length_s
     while time.monotonic() < until_s:
         yield random.randrange(_SEEDS_BELOW)  # noqa: S311
--- a/soak/_callers.py
+++ b/soak/_callers.py
@@ -1,4 +1,4 @@
-"""Hand jobs in, ask for them and change the manifest, as callers do."""
+"""Submit jobs, read their state and replace the manifest, as callers do."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from soak._promises import Promises
+from soak._promises import InvariantChecker
 from wigeonreach.gateway import Gateway
 from wigeonreach.jobs import (
     JobSpec,
@@ -36,124 +36,130 @@
 MAX_FAILURES = 3
 _HOST = 'soak.example'
 _PREFIX = '/jobs/'
-_CALL_S = 2.0
-_PAUSE_S = 0.25
+_CALL_TIMEOUT_S = 2.0
+_MAX_PAUSE_S = 0.25
 _CANCELLED_PERCENT = 6
-_ASK_EACH = 4
-_MOST_TASKS = 4
+_READS_PER_SUBMIT = 4
+_MAX_TASKS = 4
 _ATTEMPTS = 4
-_CHANGE_S = 0.7
+_MAX_CHANGE_PAUSE_S = 0.7
 
 
 class Callers:
-    """Callers and operators, each behind a gateway of its own.
+    """Callers and operators, each with its own gateway.
 
     Parameters
     ----------
     gateways
-        One for each caller; the first is the operator's too.
-    promises
-        Told of each answer.
+        One gateway for each caller; the first also puts the first manifest.
+    checker
+        Receives each reply.
     rng
-        Draws what is asked for.
+        Random generator for jobs and pauses.
     """
 
     def __init__(
         self,
         gateways: Sequence[Gateway],
-        promises: Promises,
+        checker: InvariantChecker,
         rng: random.Random,
     ) -> None:
-        """Ask for nothing yet."""
+        """Create the callers without sending any call."""
         self._gateways = gateways
-        self._promises = promises
+        self._checker = checker
         self._rng = rng
         self._numbers = itertools.count(1)
         self._versions = itertools.count(1)
 
-    async def begin(self) -> None:
-        """Put the first manifest in force, however long that takes."""
-        while not self._promises.version:
-            await self._change(self._gateways[0])
+    async def put_first_manifest(self) -> None:
+        """Put the first manifest, retrying until it is acknowledged."""
+        while not self._checker.version:
+            await self._put_manifest(self._gateways[0])
 
     async def run(self) -> None:
-        """Ask until cancelled."""
+        """Send calls until cancelled."""
         async with asyncio.TaskGroup() as group:
             for number, gateway in enumerate(self._gateways):
-                group.create_task(self._call_on(number, gateway))
-                group.create_task(self._change_on(gateway))
+                group.create_task(self._submit_loop(number, gateway))
+                group.create_task(self._manifest_loop(gateway))
 
-    async def ask_all(self) -> None:
-        """Ask for each accepted job once."""
-        for job_id in self._promises.unfinished():
-            await self._ask(self._gateways[0], job_id)
+    async def read_unfinished(self) -> None:
+        """Read each accepted job that has not ended, once."""
+        for job_id in self._checker.unfinished():
+            await self._read_job(self._gateways[0], job_id)
 
-    async def _call_on(self, number: int, gateway: Gateway) -> None:
+    async def _submit_loop(self, number: int, gateway: Gateway) -> None:
         while True:
-            await asyncio.sleep(self._rng.uniform(0, _PAUSE_S))
+            await asyncio.sleep(self._rng.uniform(0, _MAX_PAUSE_S))
             job_id = f'{number:04x}{next(self._numbers):012x}'
             await self._submit(self._job(job_id))
-            for _ in range(_ASK_EACH):
-                await self._ask_one(gateway)
+            for _ in range(_READS_PER_SUBMIT):
+                await self._read_random_job(gateway)
 
-    async def _change_on(self, gateway: Gateway) -> None:
+    async def _manifest_loop(self, gateway: Gateway) -> None:
         while True:
-            await asyncio.sleep(self._rng.uniform(0, _CHANGE_S))
-            await self._change(gateway)
-            await self._read(gateway)
+            await asyncio.sleep(self._rng.uniform(0, _MAX_CHANGE_PAUSE_S))
+            await self._put_manifest(gateway)
+            await self._read_manifest(gateway)
 
     async def _submit(self, spec: JobSpec) -> None:
-        """Hand a job in, at other processes again if the answer is lost."""
+        """Submit a job, retrying through random gateways.
+
+        The job counts as refused only if every reply says that the call had
+        no effect.
+        """
         call = SubmitJob(_HOST, f'{_PREFIX}{spec.job_id}', spec)
-        self._promises.note_submitted(spec)
+        self._checker.note_submitted(spec)
         may_have_run = False
         for _ in range(_ATTEMPTS):
             gateway = self._rng.choice(self._gateways)
-            reply = await gateway.call(call, _CALL_S)
+            reply = await gateway.call(call, _CALL_TIMEOUT_S)
             if isinstance(reply, Done):
-                self._promises.note_accepted(spec.job_id)
-                await self._cancel_some(gateway, spec.job_id)
+                self._checker.note_accepted(spec.job_id)
+                await self._maybe_cancel(gateway, spec.job_id)
                 return
             may_have_run = may_have_run or not isinstance(reply, NotDone)
         if not may_have_run:
-            self._promises.note_refused(spec.job_id)
+            self._checker.note_refused(spec.job_id)
 
-    async def _cancel_some(self, gateway: Gateway, job_id: str) -> None:
+    async def _maybe_cancel(self, gateway: Gateway, job_id: str) -> None:
         if self._rng.randrange(100) >= _CANCELLED_PERCENT:
             return
-        self._promises.note_cancelled(job_id)
+        self._checker.note_cancelled(job_id)
         await gateway.call(
             CancelJobCall(_HOST, f'{_PREFIX}{job_id}'),
-            _CALL_S,
+            _CALL_TIMEOUT_S,
         )
 
-    async def _ask_one(self, gateway: Gateway) -> None:
-        accepted = self._promises.accepted()
+    async def _read_random_job(self, gateway: Gateway) -> None:
+        accepted = self._checker.accepted()
         if accepted:
-            await self._ask(gateway, self._rng.choice(accepted))
+            await self._read_job(gateway, self._rng.choice(accepted))
 
-    async def _ask(self, gateway: Gateway, job_id: str) -> None:
+    async def _read_job(self, gateway: Gateway, job_id: str) -> None:
         reply = await gateway.call(
             ReadJob(_HOST, f'{_PREFIX}{job_id}'),
-            _CALL_S,
+            _CALL_TIMEOUT_S,
         )
         if isinstance(reply, JobState):
-            self._promises.note_shown(job_id, reply.phase)
+            self._checker.note_phase(job_id, reply.phase)
         elif isinstance(reply, NoSuchJob):
-            self._promises.note_unknown(job_id)
+            self._checker.note_unknown(job_id)
 
-    async def _change(self, gateway: Gateway) -> None:
+    async def _put_manifest(self, gateway: Gateway) -> None:
         version = next(self._versions)
-        reply = await gateway.call(PutManifest(_manifest(version)), _CALL_S)
+        reply = await gateway.call(
+            PutManifest(_manifest(version)), _CALL_TIMEOUT_S
+        )
         if isinstance(reply, Done):
-            self._promises.note_version_accepted(version)
+            self._checker.note_version_accepted(version)
 
-    async def _read(self, gateway: Gateway) -> None:
-        accepted = self._promises.version
-        reply = await gateway.call(ReadManifest(), _CALL_S)
+    async def _read_manifest(self, gateway: Gateway) -> None:
+        accepted = self._checker.version
+        reply = await gateway.call(ReadManifest(), _CALL_TIMEOUT_S)
         if isinstance(reply, ManifestText):
             version = msgspec.json.decode(reply.document, type=int)
-            self._promises.note_version_read(version, accepted)
+            self._checker.note_version_read(version, accepted)
 
     def _job(self, job_id: str) -> JobSpec:
         rng = self._rng
@@ -165,7 +171,7 @@
     def _step(self) -> StepSpec:
         rng = self._rng
         return StepSpec(
-            rng.randint(1, _MOST_TASKS),
+            rng.randint(1, _MAX_TASKS),
             cpu_millicores=rng.choice((500, 2000, 6000)),
             memory_mb=256,
             estimate_ms=rng.choice((200, 800)),
--- a/soak/_cores.py
+++ b/soak/_cores.py
@@ -1,4 +1,4 @@
-"""Start, signal and restart core processes, and end just those."""
+"""Start, signal, restart and stop the core processes of a soak run."""
 
 from __future__ import annotations
 
@@ -28,17 +28,20 @@
 
 _BIN = pathlib.Path(sys.executable).parent
 _HOST = '127.0.0.1'
-# As a supervisor would: soon, but not at once.
-_RESTART_S = 0.3
-_END_S = 8.0
-# A write that was torn leaves the beginning of a record; so short a one.
+# Delay before a restart, similar to that of a process supervisor.
+_RESTART_DELAY_S = 0.3
+_EXIT_TIMEOUT_S = 8.0
+# Length of the partial record that a simulated torn write leaves behind.
 _TORN_BYTES = 20
-# A process that was just started has written nothing yet.
-_WRITES_AFTER_S = 2.0
+# A process with a shorter uptime may not have written to its journal yet.
+_MIN_UPTIME_S = 2.0
 
 
-def source_of(first: bytes) -> str:
-    """Return who sent the first bytes of a connection."""
+def sender_name(first: bytes) -> str:
+    """Return the sender named in the first bytes of a connection.
+
+    The result is empty if no message names a sender.
+    """
     unpacker = msgpack.Unpacker()
     unpacker.feed(first)
     for raw in unpacker:
@@ -52,47 +55,60 @@
 
 @dataclasses.dataclass(slots=True)
 class CoreProcess:
-    """One core process on its disk.
+    """One core process and its data folder.
 
     Attributes
     ----------
     name
-        Address of the relay in front of it, by which all others know it.
-    is_wanted
-        Whether it is to run; if it ends nevertheless, it is started again.
-    own_ends
-        How often it ended though nobody ended it.
+        Address of the relay in front of it, which is also its name.
+    listen
+        Address that the process itself listens on.
+    folder
+        Its data folder.
+    zone
+        Its availability zone.
+    should_run
+        Whether it should be running; if it exits while this is set, it is
+        restarted.
+    unexpected_exits
+        Number of exits that were not caused by an injected fault.
+    started_s
+        Monotonic time of its last start, in seconds.
+    may_exit
+        Whether an exit is expected, since its disk is full.
+    process
+        Handle of the process, or None before its first start.
     """
 
     name: str
     listen: str
     folder: pathlib.Path
     zone: str
-    is_wanted: bool = False
-    own_ends: int = 0
+    should_run: bool = False
+    unexpected_exits: int = 0
     started_s: float = 0.0
-    may_end: bool = False
+    may_exit: bool = False
     process: asyncio.subprocess.Process | None = None
 
-    def send(self, number: signal.Signals) -> None:
-        """Send a signal, if it runs."""
+    def send(self, signal_number: signal.Signals) -> None:
+        """Send a signal if the process is running."""
         if self.process is not None and self.process.returncode is None:
-            self.process.send_signal(number)
+            self.process.send_signal(signal_number)
 
 
-class Cores:
+class CoreCluster:
     """The core processes of one run.
 
     Parameters
     ----------
     count
-        How many there are at first.
+        Initial number of processes.
     losses
-        Disks that may be lost at once.
+        Number of disks that may be lost, passed to each process.
     folder
-        Where disks and logs are.
+        Parent of the data folders and logs.
     relay
-        Through which they and all others talk.
+        Relay that carries all connections to the processes.
     """
 
     def __init__(
@@ -102,73 +118,78 @@
         folder: pathlib.Path,
         relay: Relay,
     ) -> None:
-        """Lay the processes out; none is started."""
+        """Create the processes without starting them."""
         self._losses = losses
         self._folder = folder
         self._relay = relay
         self._tasks: set[asyncio.Task[None]] = set()
         self._numbers = itertools.count()
-        self.all = [self._lay_out() for _ in range(count)]
+        self.all = [self._new_core() for _ in range(count)]
         self.seeds = tuple(core.name for core in self.all[:3])
 
     async def start(self) -> None:
-        """Start all of them for the first time."""
+        """Start all processes for the first time."""
         for core in self.all:
             await self._start(core, '--first-start')
 
-    def strike(self, core: CoreProcess, down_s: float) -> None:
-        """Kill one, and start it again after a while."""
-        self._later(self._restart(core, signal.SIGKILL, down_s))
+    def kill(self, core: CoreProcess, down_s: float) -> None:
+        """Kill a process and restart it after ``down_s`` seconds."""
+        self._spawn(self._restart(core, signal.SIGKILL, down_s))
 
     def terminate(self, core: CoreProcess) -> None:
-        """Ask one to end, and start it again."""
-        self._later(self._restart(core, signal.SIGTERM, _RESTART_S))
+        """Send SIGTERM to a process and restart it once it exits."""
+        self._spawn(self._restart(core, signal.SIGTERM, _RESTART_DELAY_S))
 
-    def pause(self, core: CoreProcess, for_s: float) -> None:
-        """Stop one for a while, without ending it."""
-        self._later(self._pause(core, for_s))
+    def pause(self, core: CoreProcess, duration_s: float) -> None:
+        """Suspend a process for ``duration_s`` seconds."""
+        self._spawn(self._pause(core, duration_s))
 
     def wipe(self, core: CoreProcess) -> None:
-        """Kill one, and start it again with an empty disk."""
-        self._later(
+        """Kill a process and restart it with an empty data folder."""
+        self._spawn(
             self._restart(
                 core,
                 signal.SIGKILL,
-                _RESTART_S,
+                _RESTART_DELAY_S,
                 lambda: shutil.rmtree(core.folder),
             ),
         )
 
     def replace(self, core: CoreProcess) -> None:
-        """End one for good, and start an empty one at another address."""
-        self._later(self._replace(core))
+        """Kill a process for good and start an empty one at a new address."""
+        self._spawn(self._replace(core))
 
-    def tear(self, core: CoreProcess) -> None:
-        """Kill one in the middle of a write, if it has begun to write."""
+    def tear_journal(self, core: CoreProcess) -> None:
+        """Kill a process and leave a partial record in its journal.
+
+        The journal is left alone if the process has just started.
+        """
         up_s = time.monotonic() - core.started_s
-        tear = functools.partial(_tear, core.folder / 'journal')
-        meanwhile = tear if up_s > _WRITES_AFTER_S else None
-        self._later(
-            self._restart(core, signal.SIGKILL, _RESTART_S, meanwhile),
+        append_torn = functools.partial(
+            _append_torn_record, core.folder / 'journal'
+        )
+        while_down = append_torn if up_s > _MIN_UPTIME_S else None
+        self._spawn(
+            self._restart(core, signal.SIGKILL, _RESTART_DELAY_S, while_down),
         )
 
-    def fill_disk(self, core: CoreProcess, for_s: float) -> None:
-        """Let no file of a process grow for a while."""
-        self._later(self._fill_disk(core, for_s))
+    def fill_disk(self, core: CoreProcess, duration_s: float) -> None:
+        """Stop the files of a process from growing for ``duration_s`` seconds."""
+        self._spawn(self._fill_disk(core, duration_s))
 
-    async def calm(self) -> None:
-        """Wait until what was begun is over, and start what is down."""
+    async def settle(self) -> None:
+        """Wait for pending faults to finish and start stopped processes."""
         while self._tasks:
             await asyncio.wait(self._tasks)
         for core in self.all:
             core.send(signal.SIGCONT)
-            if not core.is_wanted:
+            if not core.should_run:
                 await self._start(core)
 
-    async def end(self) -> None:
-        """End all processes that were started, by their ids."""
+    async def kill_all(self) -> None:
+        """Kill all started processes and cancel pending faults."""
         for core in self.all:
-            core.is_wanted = False
+            core.should_run = False
             core.send(signal.SIGCONT)
             core.send(signal.SIGKILL)
             if core.process is not None:
@@ -176,21 +197,21 @@
         for task in list(self._tasks):
             task.cancel()
 
-    def _lay_out(self) -> CoreProcess:
+    def _new_core(self) -> CoreProcess:
         number = next(self._numbers)
         listen = f'{_HOST}:{_free_port()}'
-        name = self._relay.share(f'core-{number}', listen, source_of)
+        name = self._relay.share(f'core-{number}', listen, sender_name)
         folder = self._folder / f'core-{number}'
         return CoreProcess(name, listen, folder, f'z{number}')
 
-    def _later(self, work: Coroutine[Any, Any, None]) -> None:
+    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def _start(self, core: CoreProcess, *options: str) -> None:
-        core.is_wanted = True
-        core.may_end = False
+        core.should_run = True
+        core.may_exit = False
         core.folder.mkdir(parents=True, exist_ok=True)
         seeds = [f'--seed={seed}' for seed in self.seeds]
         core.process = await asyncio.create_subprocess_exec(
@@ -207,91 +228,91 @@
             stderr=asyncio.subprocess.STDOUT,
         )
         core.started_s = time.monotonic()
-        watch = asyncio.create_task(self._watch(core, core.process))
-        watch.add_done_callback(_raise_failure)
+        supervisor = asyncio.create_task(self._supervise(core, core.process))
+        supervisor.add_done_callback(_raise_failure)
 
-    async def _watch(
+    async def _supervise(
         self,
         core: CoreProcess,
         process: asyncio.subprocess.Process,
     ) -> None:
-        """Keep its log, and start it again if it ends by itself."""
+        """Save the process's log and restart it if it exits by itself."""
         assert process.stdout is not None
         with (self._folder / f'{core.folder.name}.log').open('ab') as log:
             async for line in process.stdout:
                 log.write(line)
         await process.wait()
-        if not core.is_wanted or core.process is not process:
+        if not core.should_run or core.process is not process:
             return
-        if not core.may_end:
-            core.own_ends += 1
-        await asyncio.sleep(_RESTART_S)
-        if core.is_wanted and core.process is process:
+        if not core.may_exit:
+            core.unexpected_exits += 1
+        await asyncio.sleep(_RESTART_DELAY_S)
+        if core.should_run and core.process is process:
             await self._start(core)
 
     async def _restart(
         self,
         core: CoreProcess,
-        number: signal.Signals,
+        signal_number: signal.Signals,
         down_s: float,
-        meanwhile: Callable[[], object] | None = None,
+        while_down: Callable[[], object] | None = None,
     ) -> None:
-        if not core.is_wanted or core.process is None:
+        if not core.should_run or core.process is None:
             return
-        core.is_wanted = False
+        core.should_run = False
         process = core.process
         core.send(signal.SIGCONT)
-        core.send(number)
+        core.send(signal_number)
         try:
-            async with asyncio.timeout(_END_S):
+            async with asyncio.timeout(_EXIT_TIMEOUT_S):
                 await process.wait()
         except TimeoutError:
             core.send(signal.SIGKILL)
             await process.wait()
-        if meanwhile is not None:
-            meanwhile()
+        if while_down is not None:
+            while_down()
         await asyncio.sleep(down_s)
         await self._start(core)
 
-    async def _pause(self, core: CoreProcess, for_s: float) -> None:
+    async def _pause(self, core: CoreProcess, duration_s: float) -> None:
         core.send(signal.SIGSTOP)
-        await asyncio.sleep(for_s)
+        await asyncio.sleep(duration_s)
         core.send(signal.SIGCONT)
 
-    async def _fill_disk(self, core: CoreProcess, for_s: float) -> None:
+    async def _fill_disk(self, core: CoreProcess, duration_s: float) -> None:
         journal = core.folder / 'journal'
         process = core.process
         if process is None or not journal.exists():
             return
-        core.may_end = True
-        _limit_files(process.pid, journal.stat().st_size)
-        await asyncio.sleep(for_s)
-        _limit_files(process.pid, resource.RLIM_INFINITY)
-        core.may_end = False
+        core.may_exit = True
+        _limit_file_size(process.pid, journal.stat().st_size)
+        await asyncio.sleep(duration_s)
+        _limit_file_size(process.pid, resource.RLIM_INFINITY)
+        core.may_exit = False
 
     async def _replace(self, core: CoreProcess) -> None:
-        if not core.is_wanted or core.process is None:
+        if not core.should_run or core.process is None:
             return
-        core.is_wanted = False
+        core.should_run = False
         core.send(signal.SIGCONT)
         core.send(signal.SIGKILL)
         await core.process.wait()
-        successor = self._lay_out()
+        successor = self._new_core()
         self.all[self.all.index(core)] = successor
         await self._start(successor)
 
 
-def _limit_files(pid: int, most_bytes: int) -> None:
-    limits = (most_bytes, resource.RLIM_INFINITY)
+def _limit_file_size(pid: int, max_bytes: int) -> None:
+    limits = (max_bytes, resource.RLIM_INFINITY)
     with contextlib.suppress(ProcessLookupError):
         resource.prlimit(pid, resource.RLIMIT_FSIZE, limits)
 
 
-def _tear(journal: pathlib.Path) -> None:
-    with journal.open('rb+') as torn:
-        beginning = torn.read(_TORN_BYTES)
-        torn.seek(0, io.SEEK_END)
-        torn.write(beginning)
+def _append_torn_record(journal: pathlib.Path) -> None:
+    with journal.open('rb+') as torn_journal:
+        partial_record = torn_journal.read(_TORN_BYTES)
+        torn_journal.seek(0, io.SEEK_END)
+        torn_journal.write(partial_record)
 
 
 def _free_port() -> int:
@@ -300,6 +321,6 @@
         return int(probe.getsockname()[1])
 
 
-def _raise_failure(watch: asyncio.Task[None]) -> None:
-    if not watch.cancelled():
-        watch.result()
+def _raise_failure(supervisor: asyncio.Task[None]) -> None:
+    if not supervisor.cancelled():
+        supervisor.result()
--- a/soak/_plan.py
+++ b/soak/_plan.py
@@ -1,4 +1,4 @@
-"""Draw what goes wrong in one run from its seed."""
+"""Generate the fault schedule of a soak run from its seed."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Fault(enum.StrEnum):
-    """What is done to a process, its disk or its links from outside."""
+    """A fault injected into a process, its disk or its links."""
 
     KILL = 'kill'
     TERMINATE = 'terminate'
@@ -30,72 +30,86 @@
     WORKERS_CUT = 'workers-cut'
 
 
-# A disk that is lost counts against what the settings say may be lost.
-_DISK_LOSSES = (Fault.WIPE, Fault.REPLACE)
-_OTHERS = tuple(fault for fault in Fault if fault not in _DISK_LOSSES)
-# Between two faults on average; each lasts longer, so that they overlap.
-_GAP_S = 1.2
-_SHORTEST_S = 0.3
-_LONGEST_S = 5.0
-# Of a hundred faults, so many come several times in a row.
+# Faults that lose a disk; a run injects at most the configured number.
+_DISK_LOSS_FAULTS = (Fault.WIPE, Fault.REPLACE)
+_OTHER_FAULTS = tuple(
+    fault for fault in Fault if fault not in _DISK_LOSS_FAULTS
+)
+# Mean gap between two faults; shorter than most faults, so that they overlap.
+_MEAN_GAP_S = 1.2
+_MIN_DURATION_S = 0.3
+_MAX_DURATION_S = 5.0
+# Percentage of faults that are repeated several times in a row.
 _SERIES_PERCENT = 25
 _SERIES_GAP_S = 0.7
-_MOST_IN_SERIES = 4
-_LOSS_PERCENT = 15
+_MAX_SERIES_LENGTH = 4
+_DISK_LOSS_PERCENT = 15
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Step:
-    """One fault.
+class FaultEvent:
+    """One scheduled fault.
 
     Attributes
     ----------
-    subject
-        Which process it strikes, modulo how many there are.
-    for_s
-        How long it lasts, where it lasts.
+    at_s
+        When it is injected, in seconds after the start of the schedule.
+    fault
+        Kind of fault.
+    selector
+        Selects the affected process: its index modulo their number.
+    duration_s
+        How long it lasts, in seconds; unused for instantaneous faults.
     """
 
     at_s: float
     fault: Fault
-    subject: int
-    for_s: float
+    selector: int
+    duration_s: float
 
 
-def draw_plan(seed: int, length_s: float, losses: int) -> tuple[Step, ...]:
-    """Return the faults of one run, in the order of time.
+def draw_plan(
+    seed: int, length_s: float, max_disk_losses: int
+) -> tuple[FaultEvent, ...]:
+    """Return the faults of one run, in chronological order.
 
     Parameters
     ----------
     seed
-        Two calls with one seed draw the same.
+        Seed of the schedule; equal seeds give equal schedules.
     length_s
-        After this no fault begins.
-    losses
-        Most disks that are lost in the run.
+        Time after which no fault is injected, in seconds.
+    max_disk_losses
+        Maximum number of disks lost during the run.
     """
     rng = random.Random(seed)  # noqa: S311
-    steps: list[Step] = []
-    at_s = rng.expovariate(1 / _GAP_S)
+    events: list[FaultEvent] = []
+    at_s = rng.expovariate(1 / _MEAN_GAP_S)
     while at_s < length_s:
-        lost = sum(step.fault in _DISK_LOSSES for step in steps)
-        steps.extend(_draw_step(rng, at_s, may_lose=lost < losses))
-        at_s += rng.expovariate(1 / _GAP_S)
-    return tuple(sorted(steps, key=lambda step: step.at_s))
+        lost = sum(event.fault in _DISK_LOSS_FAULTS for event in events)
+        events.extend(
+            _draw_events(rng, at_s, may_lose_disk=lost < max_disk_losses)
+        )
+        at_s += rng.expovariate(1 / _MEAN_GAP_S)
+    return tuple(sorted(events, key=lambda event: event.at_s))
 
 
-def _draw_step(
+def _draw_events(
     rng: random.Random,
     at_s: float,
-    may_lose: bool,
-) -> Iterator[Step]:
-    subject = rng.randrange(1000)
-    for_s = rng.uniform(_SHORTEST_S, _LONGEST_S)
-    if may_lose and rng.randrange(100) < _LOSS_PERCENT:
-        yield Step(at_s, rng.choice(_DISK_LOSSES), subject, for_s)
+    may_lose_disk: bool,
+) -> Iterator[FaultEvent]:
+    selector = rng.randrange(1000)
+    duration_s = rng.uniform(_MIN_DURATION_S, _MAX_DURATION_S)
+    if may_lose_disk and rng.randrange(100) < _DISK_LOSS_PERCENT:
+        yield FaultEvent(
+            at_s, rng.choice(_DISK_LOSS_FAULTS), selector, duration_s
+        )
         return
-    fault = rng.choice(_OTHERS)
+    fault = rng.choice(_OTHER_FAULTS)
     is_series = rng.randrange(100) < _SERIES_PERCENT
-    times = rng.randint(2, _MOST_IN_SERIES) if is_series else 1
-    for number in range(times):
-        yield Step(at_s + number * _SERIES_GAP_S, fault, subject, for_s)
+    count = rng.randint(2, _MAX_SERIES_LENGTH) if is_series else 1
+    for number in range(count):
+        yield FaultEvent(
+            at_s + number * _SERIES_GAP_S, fault, selector, duration_s
+        )
--- a/soak/_workers.py
+++ b/soak/_workers.py
@@ -1,4 +1,4 @@
-"""Let stand-in workers run what core processes order."""
+"""Simulate workers that run the tasks ordered by core processes."""
 
 from __future__ import annotations
 
@@ -7,25 +7,25 @@
 import random
 import time
 
-from soak._promises import Promises
+from soak._promises import InvariantChecker
 from wigeonreach.gateway import Gateway
 from wigeonreach.jobs import Run, RunEnd, TaskKey
 from wigeonreach.standins import StandInWorker
 from wigeonreach.wire._call_messages import HearWorker
 from wigeonreach.wire._call_replies import Orders
 
-# An answer that comes later is dropped, as workers do.
-_ANSWER_S = 1.0
-_POLL_S = 0.05
+# Like real workers, drop a reply that arrives later than this.
+_REPLY_TIMEOUT_S = 1.0
+_HEARTBEAT_S = 0.05
 _FAILED_PERCENT = 3
-_SHORTEST_RUN_S = 0.1
-_LONGEST_RUN_S = 1.5
+_MIN_RUN_S = 0.1
+_MAX_RUN_S = 1.5
 _NS_PER_MS = 1_000_000
 
 
 @dataclasses.dataclass(slots=True)
 class _Vm:
-    """A VM, the worker on it and when its runs end."""
+    """A VM, its worker and the times at which the worker's runs end."""
 
     name: str
     worker: StandInWorker
@@ -33,30 +33,30 @@
 
 
 class Workers:
-    """The workers of one run, each with a task of its own.
+    """The workers of one run, each with its own asyncio task.
 
     Parameters
     ----------
     count
-        How many VMs there are.
+        Number of VMs, each with one worker.
     gateway
-        How they reach whoever leads.
-    promises
-        Told of each start and end.
+        Gateway through which workers reach the leader.
+    checker
+        Receives each start and end of a run.
     rng
-        Draws how long runs take and how they end.
+        Random generator for the length and result of runs.
     """
 
     def __init__(
         self,
         count: int,
         gateway: Gateway,
-        promises: Promises,
+        checker: InvariantChecker,
         rng: random.Random,
     ) -> None:
-        """Run nothing yet."""
+        """Create the workers without starting them."""
         self._gateway = gateway
-        self._promises = promises
+        self._checker = checker
         self._rng = rng
         self._vms = [
             _Vm(f'vm-{number}', _new_worker(f'vm-{number}'))
@@ -67,16 +67,16 @@
         """Send heartbeats until cancelled."""
         async with asyncio.TaskGroup() as group:
             for vm in self._vms:
-                group.create_task(self._live(vm))
+                group.create_task(self._heartbeat_loop(vm))
 
-    def crash(self, subject: int) -> None:
-        """End a worker with all that runs on it; it starts again under its id."""
-        vm = self._vms[subject % len(self._vms)]
+    def crash(self, selector: int) -> None:
+        """Kill a worker with its runs and restart it with the same ID."""
+        vm = self._vms[selector % len(self._vms)]
         vm.due_s.clear()
         vm.worker = _new_worker(vm.name)
 
     def running(self) -> dict[TaskKey, str]:
-        """Return what runs, and where."""
+        """Return the running tasks, each with the worker that runs it."""
         now_s = time.monotonic()
         for vm in self._vms:
             vm.worker.lapse(now_s)
@@ -86,37 +86,37 @@
             for key, _ in vm.worker.running
         }
 
-    async def _live(self, vm: _Vm) -> None:
+    async def _heartbeat_loop(self, vm: _Vm) -> None:
         while True:
             worker = vm.worker
-            self._let_end(vm)
+            self._end_due_runs(vm)
             sent_s = time.monotonic()
             reply = await self._gateway.call(
                 HearWorker(worker.report()),
-                _ANSWER_S,
+                _REPLY_TIMEOUT_S,
             )
-            is_late = time.monotonic() - sent_s > _ANSWER_S
-            # A worker that crashed meanwhile gets no answer any more.
+            is_late = time.monotonic() - sent_s > _REPLY_TIMEOUT_S
+            # A worker that crashed in the meantime gets no reply.
             if (
                 isinstance(reply, Orders)
                 and not is_late
                 and worker is vm.worker
             ):
-                self._obey(vm, reply, sent_s)
-            await asyncio.sleep(_POLL_S)
+                self._apply_orders(vm, reply, sent_s)
+            await asyncio.sleep(_HEARTBEAT_S)
 
-    def _obey(self, vm: _Vm, reply: Orders, sent_s: float) -> None:
+    def _apply_orders(self, vm: _Vm, reply: Orders, sent_s: float) -> None:
         worker = vm.worker
         now_s = time.monotonic()
         worker.lapse(now_s)
-        self._promises.note_acknowledged(worker, reply.orders, now_s)
+        self._checker.note_acknowledged(worker, reply.orders, now_s)
         others = [other.worker for other in self._vms]
         for start in worker.obey(reply.orders, percent=1, sent_s=sent_s):
-            self._promises.note_started(start, worker, others, now_s)
-            length_s = self._rng.uniform(_SHORTEST_RUN_S, _LONGEST_RUN_S)
+            self._checker.note_started(start, worker, others, now_s)
+            length_s = self._rng.uniform(_MIN_RUN_S, _MAX_RUN_S)
             vm.due_s[start.task, start.run] = now_s + length_s
 
-    def _let_end(self, vm: _Vm) -> None:
+    def _end_due_runs(self, vm: _Vm) -> None:
         now_s = time.monotonic()
         worker = vm.worker
         worker.lapse(now_s)
@@ -127,7 +127,7 @@
                 has_failed = self._rng.randrange(100) < _FAILED_PERCENT
                 how = RunEnd.FAILED if has_failed else RunEnd.DONE
                 worker.end(run, how)
-                self._promises.note_ended(run[0], worker.incarnation, how)
+                self._checker.note_ended(run[0], worker.incarnation, how)
                 vm.due_s.pop(run)
         worker.advance(_percent(now_s))
 
@@ -138,5 +138,5 @@
 
 
 def _percent(now_s: float) -> int:
-    """Return some progress that is seen to move."""
+    """Return a progress value that changes with time."""
     return int(now_s * 10) % 99 + 1
--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the fault soak."""
+"""Tests of the soak test."""
--- a/tests/soak/test_plan.py
+++ b/tests/soak/test_plan.py
@@ -1,4 +1,4 @@
-"""Test what is drawn from a seed."""
+"""Test the fault schedules generated from seeds."""
 
 from __future__ import annotations
 
@@ -13,30 +13,30 @@
 
 
 class TestPlan(testtools.TestCase):
-    """Plans of many seeds."""
+    """Fault schedules of many seeds."""
 
-    def test_seed_draws_the_same_again(self) -> None:
-        """A seed that failed can be played again."""
+    def test_equal_seeds_give_equal_schedules(self) -> None:
+        """The fault schedule of a failed run can be replayed."""
         for seed in _SEEDS:
             self.assertThat(
                 draw_plan(seed, _LENGTH_S, 1),
                 matchers.Equals(draw_plan(seed, _LENGTH_S, 1)),
             )
 
-    def test_disks_are_lost_as_often_as_allowed_at_most(self) -> None:
-        """What is promised holds for so many lost disks only."""
+    def test_lost_disks_stay_within_the_limit(self) -> None:
+        """The service guarantees cover only a limited number of lost disks."""
         for seed in _SEEDS:
             plan = draw_plan(seed, _LENGTH_S, 1)
             lost = [step for step in plan if step.fault in _LOST]
             self.assertThat(len(lost) <= 1, matchers.Is(True), f'seed {seed}')
 
-    def test_every_fault_comes_and_they_overlap(self) -> None:
-        """Faults begin while others last, and all kinds are drawn."""
+    def test_all_faults_occur_and_overlap(self) -> None:
+        """All kinds of faults are drawn, and some overlap."""
         plans = [draw_plan(seed, _LENGTH_S, 1) for seed in _SEEDS]
         drawn = {step.fault for plan in plans for step in plan}
         self.assertThat(drawn, matchers.Equals(set(Fault)))
         overlaps = sum(
-            later.at_s < earlier.at_s + earlier.for_s
+            later.at_s < earlier.at_s + earlier.duration_s
             for plan in plans
             for earlier, later in zip(plan, plan[1:], strict=False)
         )
--- a/tests/soak/test_short_run.py
+++ b/tests/soak/test_short_run.py
@@ -1,4 +1,4 @@
-"""Play a short run with real processes."""
+"""Run a short soak test with real processes."""
 
 from __future__ import annotations
 
@@ -8,20 +8,22 @@
 import testtools
 from testtools import matchers
 
-from soak._play import Shape, play
+from soak._play import RunConfig, run_soak
 
-_SHORT = Shape(length_s=6.0)
-# Their plans kill, pause, cut and wipe within the first seconds.
+_SHORT = RunConfig(length_s=6.0)
+# Schedules that kill, pause, cut off and wipe within the first seconds.
 _SEEDS = (4, 11)
 
 
 class TestShortRun(testtools.TestCase):
     """Three core processes under a few faults."""
 
-    def test_promises_hold(self) -> None:
-        """No promise is broken, and work was done."""
+    def test_invariants_hold(self) -> None:
+        """No invariant is violated, and jobs were accepted."""
         for seed in _SEEDS:
             with tempfile.TemporaryDirectory() as folder:
-                outcome = play(seed, _SHORT, pathlib.Path(folder))
-            self.assertThat(outcome.broken, matchers.Equals(()), f'seed {seed}')
+                outcome = run_soak(seed, _SHORT, pathlib.Path(folder))
+            self.assertThat(
+                outcome.violations, matchers.Equals(()), f'seed {seed}'
+            )
             self.assertThat(outcome.counts['accepted'] > 0, matchers.Is(True))
