--- a/proofs/rollout_watch.py
+++ b/proofs/rollout_watch.py
@@ -1,4 +1,4 @@
-"""Watch the versions that entries act on, as their callers see them."""
+"""Poll the configuration version that entries report to their callers."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from bench.cluster import Process
 
 _HEADER = 'X-Config-Version'
-_PERIOD_S = 0.05
+_POLL_S = 0.05
 _TIMEOUT_S = 3.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Sighting:
-    """The version that one answer told, and when its request was sent."""
+class Observation:
+    """The version in one response, with the times of request and response."""
 
     entry: str
     sent_s: float
@@ -26,43 +26,44 @@
     status: int
 
 
-class Watcher(threading.Thread):
-    """Ask every entry again and again until told to stop.
+class VersionWatcher(threading.Thread):
+    """Poll all entries in a thread until stopped.
 
     Parameters
     ----------
     entries
-        Whom to ask.
+        Entries to poll.
     """
 
     def __init__(self, entries: Sequence[Process]) -> None:
-        """Watch nothing yet."""
+        """Create the thread without starting it."""
         super().__init__(daemon=True)
         self._entries = entries
         self._is_done = threading.Event()
-        self.sightings: list[Sighting] = []
+        self.observations: list[Observation] = []
 
     def run(self) -> None:
-        """Ask until told to stop."""
-        while not self._is_done.wait(_PERIOD_S):
+        """Poll until stopped."""
+        while not self._is_done.wait(_POLL_S):
             for entry in self._entries:
-                sighting = see(entry)
-                if sighting is not None:
-                    self.sightings.append(sighting)
+                observation = read_version(entry)
+                if observation is not None:
+                    self.observations.append(observation)
 
     def finish(self) -> list[str]:
-        """Stop and return every answer older than one seen before it.
+        """Stop polling and report entries whose version decreased.
 
         Returns
         -------
         list of str
-            One line for each; empty if versions only grew.
+            One line for each response with an older version than an earlier
+            response of the same entry; empty if no version decreased.
         """
         self._is_done.set()
         self.join()
         faults: list[str] = []
         newest: dict[str, int] = {}
-        for seen in self.sightings:
+        for seen in self.observations:
             if seen.version < newest.get(seen.entry, 0):
                 faults.append(
                     f'{seen.entry}: {seen.version} after {newest[seen.entry]}',
@@ -71,20 +72,20 @@
         return faults
 
 
-def see(entry: Process, known: int = 0) -> Sighting | None:
-    """Ask an entry once, as a caller that has seen a version.
+def read_version(entry: Process, known: int = 0) -> Observation | None:
+    """Send one request to an entry and return the version it reports.
 
     Parameters
     ----------
     entry
-        Whom to ask.
+        Entry to ask.
     known
-        Version that the caller has seen; 0 for none.
+        Version that the caller already knows, sent along; 0 for none.
 
     Returns
     -------
-    Sighting or None
-        None if the entry gave no answer or told no version.
+    Observation or None
+        None if the entry gave no response or reported no version.
     """
     host, _, port = entry.http.rpartition(':')
     connection = http_client.HTTPConnection(host, int(port), _TIMEOUT_S)
@@ -100,7 +101,7 @@
     version = answer.getheader(_HEADER)
     if version is None:
         return None
-    return Sighting(
+    return Observation(
         entry.name,
         sent_s,
         time.monotonic(),
--- a/proofs/test_capacity.py
+++ b/proofs/test_capacity.py
@@ -1,4 +1,4 @@
-"""Prove by traces that own actions break no availability budget."""
+"""Check by simulation that own actions violate no availability budget."""
 
 from __future__ import annotations
 
@@ -22,31 +22,31 @@
 _END_S = 6 * 3600.0
 
 
-class ForgetsDownInventory(Inventory):
-    """Planted fault: counts failed VMs as if they served."""
+class FailedVmsServingInventory(Inventory):
+    """Injected fault: counts failed VMs as serving."""
 
     def put(self, vm: Vm) -> None:
-        """Count a failed VM as up."""
+        """Store a failed VM as serving."""
         if vm.state is VmState.DOWN:
             vm = dataclasses.replace(vm, state=VmState.SERVING)
         super().put(vm)
 
 
-class ForgetsOwnInventory(Inventory):
-    """Planted fault: counts VMs that own actions hold down as serving."""
+class MaintainedVmsServingInventory(Inventory):
+    """Injected fault: counts VMs under maintenance as serving."""
 
     def put(self, vm: Vm) -> None:
-        """Count a VM under maintenance as up."""
+        """Store a VM under maintenance as serving."""
         if vm.is_maintained:
             vm = dataclasses.replace(vm, state=VmState.SERVING)
         super().put(vm)
 
 
 class TestBudgets(testtools.TestCase):
-    """Budgets through failures and waves."""
+    """Availability budgets during failures and maintenance waves."""
 
     def test_lists(self) -> None:
-        """No list of events makes own actions break a budget."""
+        """No stored event list makes own actions violate a budget."""
         for user in USERS:
             for way in (CHOSEN[user.name], BufferWay.SHARED):
                 for events in LISTS:
@@ -65,8 +65,11 @@
         self.assertThat(_random_run(case).violations, Equals([]))
 
     def test_planted_faults(self) -> None:
-        """The check finds planners that forget what is down already."""
-        for planted in (ForgetsDownInventory, ForgetsOwnInventory):
+        """The check detects planners that ignore VMs already down."""
+        for planted in (
+            FailedVmsServingInventory,
+            MaintainedVmsServingInventory,
+        ):
             self.patch(fleet_driver, 'Inventory', planted)
             found = [
                 fault
@@ -76,7 +79,7 @@
             self.assertNotEqual([], found, planted.__name__)
 
     def test_cut_off_zone(self) -> None:
-        """Zones that plan for themselves keep all budgets together."""
+        """Zones that plan independently keep the global budgets."""
         for user in USERS:
             vms = user.vms(user.size(BufferWay.PER_POOL))
             for cut_s in range(300, 4000, 700):
@@ -95,7 +98,7 @@
 
 
 def _random_run(case: int) -> Report:
-    """Run a wave with random losses of VMs, racks and zones."""
+    """Simulate a wave with random losses of VMs, racks and zones."""
     rng = random.Random(case)  # noqa: S311 - seeded test data
     user = rng.choice(USERS)
     way = rng.choice(tuple(BufferWay))
--- a/proofs/test_jobs.py
+++ b/proofs/test_jobs.py
@@ -1,4 +1,4 @@
-"""Prove with processes that a billing run never starts twice."""
+"""Check with real processes that a non-idempotent job starts only once."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     """One zone's manager places jobs on six VMs."""
 
     def test_restarted_while_running(self) -> None:
-        """A manager that is restarted keeps the run that it finds."""
+        """A restarted manager adopts the run in progress."""
         cluster = self._cluster('running', '--task-s=8')
         self._submit(cluster, 'bill', is_idempotent=False)
         wait_until(lambda: _starts(cluster, 'bill') == 1, 'start', 20)
@@ -46,7 +46,7 @@
         self.assertThat(_starts(cluster, 'bill'), Equals(1))
 
     def test_finished_meanwhile(self) -> None:
-        """A run that may have ended while nobody looked is reported."""
+        """A run that may have ended while the manager was down is reported."""
         cluster = self._cluster('meanwhile', '--task-s=0.2')
         self._submit(cluster, 'bill', is_idempotent=False)
         wait_until(lambda: _starts(cluster, 'bill') == 1, 'start', 20)
@@ -58,7 +58,7 @@
         self.assertThat(_starts(cluster, 'bill'), Equals(1))
 
     def test_faults(self) -> None:
-        """With answers lost and requests doubled, each job starts once."""
+        """Each job starts once despite lost replies and duplicated requests."""
         cluster = self._cluster(
             'faults',
             '--task-s=0.2',
--- a/proofs/test_maintenance.py
+++ b/proofs/test_maintenance.py
@@ -1,4 +1,4 @@
-"""Prove waves with processes, checked from the platform's own action log."""
+"""Check maintenance waves with real processes, by the platform's action log."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 _SLOTS = 8
 _PROMISED = 60
 _MISSING_RATIO = 0.25
-_LEAST_SLOTS = _PROMISED * (1 - _MISSING_RATIO)
+_MIN_SLOTS = _PROMISED * (1 - _MISSING_RATIO)
 _WATCHED = frozenset(f'{zone}-vm-0' for zone in ZONES)
 _MANAGED = tuple(
     f'{zone}-vm-{number}' for zone in ZONES for number in range(1, VMS_PER_ZONE)
@@ -63,7 +63,7 @@
 
 
 class TestMaintenance(testtools.TestCase):
-    """Three zones of six VMs, of which one each is only watched."""
+    """Three zones of six VMs, one of which in each zone is only watched."""
 
     def test_manager_killed(self) -> None:
         """Another manager finishes the wave and reboots no VM twice."""
@@ -80,7 +80,7 @@
         self._check(cluster, whole=True)
 
     def test_platform_faults(self) -> None:
-        """Late, lost, doubled and wrong answers reboot no VM twice."""
+        """Late, lost, duplicated and wrong replies reboot no VM twice."""
         cluster = self._cluster('faults', *_FAULTS)
         self._start(cluster)
 
@@ -88,7 +88,7 @@
         self._check(cluster, whole=True)
 
     def test_stopped(self) -> None:
-        """A stop lets reboots finish, gives drains back and starts none."""
+        """A stop lets reboots finish, reverts drains and starts none."""
         cluster = self._cluster('stopped', '--drain-s=1')
         self._start(cluster)
         wait_until(lambda: cluster.count('booted') >= 3, 'reboots', 20)
@@ -96,15 +96,15 @@
         cluster.maintenance('stop', 'w1', '--command-id=stop')
         cluster.maintenance('stop', 'w1', '--command-id=stop')
         drains = cluster.count('drain')
-        wait_until(lambda: not _down(cluster.actions()), 'all back', 20)
+        wait_until(lambda: not _drained_vms(cluster.actions()), 'all back', 20)
 
-        # One round may have begun before it could know of the stop.
+        # One planning round may have started before the stop was seen.
         self.assertThat(cluster.count('drain') - drains, LessThan(4))
         self.assertThat(cluster.wave('w1')['phase'], Equals('stopped'))
         self._check(cluster, whole=False)
 
     def test_bad_image(self) -> None:
-        """A bad image costs one VM: the wave pauses by itself."""
+        """A bad image affects one VM, then the wave pauses by itself."""
         bad = [f'--bad-image={name}' for name in _MANAGED]
         cluster = self._cluster('bad', *bad)
         self._start(cluster)
@@ -116,7 +116,7 @@
         self._check(cluster, whole=False)
 
     def test_cut_off(self) -> None:
-        """A deciding manager that is cut off and healed does nothing twice."""
+        """A leader that is cut off and reconnected repeats no action."""
         relay = Relay()
         self.addCleanup(relay.close)
         cluster = self._cluster('cut', '--drain-s=0.5', relay=relay)
@@ -167,10 +167,10 @@
         touched = {line.vm for line in lines}
         self.assertThat(touched & _WATCHED, Equals(set()))
         least = min(
-            _guarded_slots(_down(lines[: end + 1]))
+            _guarded_slots(_drained_vms(lines[: end + 1]))
             for end, _ in enumerate(lines)
         )
-        self.assertThat(least >= _LEAST_SLOTS, Equals(True), str(least))
+        self.assertThat(least >= _MIN_SLOTS, Equals(True), str(least))
 
 
 def _phase(cluster: ManagedCluster) -> object:
@@ -181,8 +181,8 @@
     return cluster.leader().name != cut.name
 
 
-def _down(lines: list[ActionLine]) -> set[str]:
-    """Return the VMs that were drained and not yet put back."""
+def _drained_vms(lines: list[ActionLine]) -> set[str]:
+    """Return the VMs that were drained and not yet restored."""
     down: set[str] = set()
     for line in lines:
         if line.what == 'drain':
@@ -193,7 +193,7 @@
 
 
 def _guarded_slots(down: set[str]) -> int:
-    """Return what is left of the pool should its largest rack fail now."""
+    """Return the slots that remain if the pool's largest rack fails now."""
     up = [name for name in _MANAGED if name not in down]
     racks = collections.Counter(map(_rack, up))
     return (len(up) - max(racks.values())) * _SLOTS
--- a/proofs/test_overload.py
+++ b/proofs/test_overload.py
@@ -1,4 +1,4 @@
-"""Prove that bad input and overload end in early, honest refusals."""
+"""Check that bad input and overload are refused early and correctly."""
 
 from __future__ import annotations
 
@@ -41,11 +41,11 @@
     targets_per_service=2,
     service_time_s=0.1,
 )
-# Two targets of 8 slots, 0.1 s a request.
+# Two targets of 8 slots each, 0.1 s per request.
 _CAPACITY_PER_S = 160.0
 _DEADLINE_S = 1.0
 _HEAD_TIMEOUT_S = 2.0
-_ANNOUNCED_S = 1.5
+_ANNOUNCE_WAIT_S = 1.5
 _SOCKET_TIMEOUT_S = 8.0
 _MEBIBYTE = 1024 * 1024
 _CODE = re.compile(rb'X-Result-Code: (\d+)')
@@ -117,7 +117,7 @@
     """A small fleet with one entry and two targets."""
 
     def setUp(self) -> None:
-        """Start it."""
+        """Start the fleet."""
         super().setUp()
         folder = pathlib.Path(tempfile.mkdtemp())
         self.addCleanup(shutil.rmtree, folder, ignore_errors=True)
@@ -132,26 +132,26 @@
         self.cluster.start()
         self.cluster.command_line('apply', str(text))
         self.cluster.wait_until_ready()
-        time.sleep(_ANNOUNCED_S)
+        time.sleep(_ANNOUNCE_WAIT_S)
 
-    def started(self) -> list[str]:
-        """Return what targets began to run."""
+    def started_work(self) -> list[str]:
+        """Return the work items that targets started."""
         runs = read_run_log(self.cluster.run_log)
         return [run.work for run in runs if run.kind is RunKind.START]
 
     def assert_serving(self) -> None:
-        """The entry still answers, and ran nothing but this."""
+        """Check that the entry serves a request and ran nothing before it."""
         sent = _head(5, 'Connection: close\r\n', 'whole')
         answer = _exchange(self.entry, sent)
         self.assertThat(_code(answer), Equals(ResultCode.OK))
-        self.assertThat(self.started(), Equals(['whole']))
+        self.assertThat(self.started_work(), Equals(['whole']))
 
 
 class TestBadInput(OverloadCase):
-    """Behaviour towards callers that send nonsense or nothing."""
+    """Behaviour towards malformed, incomplete and slow requests."""
 
     def test_malformed_requests_run_nothing(self) -> None:
-        """Each malformed request has its numbered refusal."""
+        """Each malformed request is refused with its result code."""
         for sent, code in _MALFORMED:
             answer = _exchange(self.entry, sent)
             seen = (sent[:60], _code(answer), b'X-Outcome: not-run' in answer)
@@ -159,7 +159,7 @@
         self.assert_serving()
 
     def test_aborted_bodies_run_nothing(self) -> None:
-        """A body that ends half-way is never run."""
+        """A request with an incomplete body is never run."""
         for _ in range(20):
             with _connect(self.entry) as caller:
                 caller.sendall(_head(100, body='half'))
@@ -167,7 +167,7 @@
         self.assert_serving()
 
     def test_slow_callers_are_bounded(self) -> None:
-        """Slow heads are closed, slow bodies refused by the deadline."""
+        """Slow heads are closed; slow bodies are refused at the deadline."""
         heads = [_connect(self.entry) for _ in range(50)]
         bodies = [_connect(self.entry) for _ in range(50)]
         for slow in heads:
@@ -189,7 +189,7 @@
     def test_unfinished_bodies_take_bounded_memory(self) -> None:
         """Many large unfinished bodies don't grow the entry without bound."""
         before_bytes = _resident_bytes(self.entry)
-        callers = [_Unfinished(_connect(self.entry)) for _ in range(300)]
+        callers = [_UnfinishedUpload(_connect(self.entry)) for _ in range(300)]
         peak_bytes = before_bytes
         for _ in range(20):
             for caller in callers:
@@ -207,7 +207,7 @@
     """Behaviour at several times the capacity."""
 
     def test_refusals_come_early(self) -> None:
-        """Whoever is given up on learns it early, and when to come back."""
+        """Refused callers learn early that and when they should retry."""
         samples = self._drive(_stream('clinics', 4))
         refused = [one for one in samples if one.outcome == 'not-run']
         self.assertThat(len(refused), GreaterThan(len(samples) // 2))
@@ -222,14 +222,14 @@
         returns = {one.return_after_s for one in refused}
         self.assertThat(min(returns), GreaterThan(0))
         self.assertThat(len(returns), GreaterThan(2))
-        started = set(self.started())
+        started = set(self.started_work())
         self.assertThat(
             [one.work for one in refused if one.work in started],
             Equals([]),
         )
 
     def test_flood_does_not_starve(self) -> None:
-        """A team within its share is served while another floods."""
+        """A team within its share is served while another overloads."""
         samples = self._drive(
             _stream('schools', 4),
             _stream('clinics', 0.25),
@@ -255,7 +255,7 @@
         )
 
 
-class _Unfinished:
+class _UnfinishedUpload:
     """A caller that sends all of a large body but its last byte."""
 
     def __init__(self, connection: socket.socket) -> None:
@@ -288,7 +288,7 @@
 
 
 def _send_some(caller: socket.socket, sent: bytes) -> None:
-    # The entry need not read what it already refused.
+    # The entry may close the connection before reading a refused request.
     with contextlib.suppress(OSError):
         caller.sendall(sent)
 
--- a/proofs/test_ownership.py
+++ b/proofs/test_ownership.py
@@ -1,4 +1,4 @@
-"""Prove that a VM has one owner though a manager is cut off and comes back."""
+"""Check that a VM has one owner while a manager is cut off and reconnects."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 _FOLDER = pathlib.Path('run/proof-ownership')
 _LEASE_S = 3.0
 _POLL_S = 0.1
-_LONG_S = 15.0
+_TIMEOUT_S = 15.0
 _SHAPE = Shape(
     zones=('a', 'b', 'c'),
     entries_per_zone=0,
@@ -39,7 +39,7 @@
 
 
 class TestOwnership(testtools.TestCase):
-    """Two managers; the zone of one is cut off silently for long."""
+    """Two managers; the zone of one is cut off for longer than its lease."""
 
     def setUp(self) -> None:
         """Start three replicas."""
@@ -52,12 +52,12 @@
         self.cluster.start()
 
     def test_isolated_manager(self) -> None:
-        """The VM moves on only after the lease, and the old token is void."""
+        """The VM moves only after its lease; the old token becomes invalid."""
         asyncio.run(self._isolate())
 
     async def _isolate(self) -> None:
-        first = _client('m-c', self.cluster.replicas[2:], give_up_s=_LONG_S)
-        second = _client('m-a', self.cluster.replicas[:2], _LONG_S)
+        first = _client('m-c', self.cluster.replicas[2:], give_up_s=_TIMEOUT_S)
+        second = _client('m-a', self.cluster.replicas[:2], _TIMEOUT_S)
         fence = Fence()
         asked_s = time.monotonic()
         granted = await first.submit(GrantVm('vm-1', 'desk', _LEASE_S))
@@ -71,7 +71,7 @@
         self.assertFalse(holding.may_act(time.monotonic()))
         self.assertTrue(fence.admit('vm-1', moved_token))
         self.relay.heal()
-        late_codes = await _late_codes(first, lost, holding.token)
+        late_codes = await _stale_token_codes(first, lost, holding.token)
         record = (await second.read(ReadVms(), Vms)).vms[0]
 
         self.assertThat(late_codes, Equals({ResultCode.STATE_NOT_HELD}))
@@ -81,7 +81,7 @@
         self.assertFalse(fence.admit('vm-1', holding.token))
 
     async def _move(self, manager: StateClient, wanted: GrantVm) -> int:
-        ends_s = time.monotonic() + _LONG_S
+        ends_s = time.monotonic() + _TIMEOUT_S
         while time.monotonic() < ends_s:
             vms = (await manager.read(ReadVms(), Vms)).vms
             if vms[0].pool == wanted.pool:
@@ -93,12 +93,12 @@
         raise TimeoutError(wanted.vm)
 
 
-async def _late_codes(
+async def _stale_token_codes(
     manager: StateClient,
     lost: asyncio.Future[Reply],
     token: int,
 ) -> set[int]:
-    """Return what the manager that was cut off is told of its old token."""
+    """Return the result codes that the old token gets after the heal."""
     codes: set[int] = set()
     with contextlib.suppress(StateError):
         codes.add((await lost).code)
--- a/proofs/test_requests.py
+++ b/proofs/test_requests.py
@@ -1,4 +1,4 @@
-"""Prove outcomes and at most once with callers that send copies."""
+"""Check outcomes and at-most-once execution with callers that resend."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 
 _FOLDER = pathlib.Path('run/proof-requests')
 _RATE_PER_S = 25.0
-_LENGTH_S = 9.0
-_ANNOUNCED_S = 2.0
+_LOAD_S = 9.0
+_ANNOUNCE_WAIT_S = 2.0
 _STEP_S = 1.5
 _TEXT = """
 [fleet]
@@ -43,10 +43,10 @@
 
 
 class TestRequests(testtools.TestCase):
-    """Two zones of two entries and two targets, and callers everywhere."""
+    """Two zones of two entries and two targets, with callers in both."""
 
     def test_killed(self) -> None:
-        """Killed entries and targets, also two at once, run nothing twice."""
+        """No request runs twice when entries and targets are killed."""
 
         async def disturb(cluster: Cluster) -> None:
             entries, targets = cluster.entries, cluster.targets
@@ -55,10 +55,10 @@
             await _kill(entries[1], targets[1])
             await _kill(entries[0], entries[2])
 
-        self._prove(_SHAPE, disturb)
+        self._check_at_most_once(_SHAPE, disturb)
 
     def test_frozen(self) -> None:
-        """Frozen entries and targets that wake late run nothing twice."""
+        """No request runs twice when entries and targets are suspended."""
 
         async def disturb(cluster: Cluster) -> None:
             entries, targets = cluster.entries, cluster.targets
@@ -67,10 +67,10 @@
             await _freeze(entries[1], targets[1])
             await _freeze(entries[0], entries[2])
 
-        self._prove(_SHAPE, disturb)
+        self._check_at_most_once(_SHAPE, disturb)
 
     def test_cut(self) -> None:
-        """Cuts between zones and of lost answers run nothing twice."""
+        """No request runs twice when zones are cut off or replies are lost."""
         relay = Relay()
         self.addCleanup(relay.close)
         near, far = set[str](), set[str]()
@@ -91,13 +91,13 @@
             await asyncio.sleep(_STEP_S)
             relay.heal()
 
-        self._prove(_SHAPE, disturb, relay)
-        # A zone that is cut off goes on taking new work.
+        self._check_at_most_once(_SHAPE, disturb, relay)
+        # A zone that is cut off still accepts new work.
         answered = sum(call.is_answered for call in cut_off)
         self.assertThat(answered, Equals(len(cut_off)))
 
     def test_faulty_targets(self) -> None:
-        """Targets whose answers are broken never reach another caller."""
+        """Broken replies of a target never reach another caller."""
         options = ['--fault-ratio', '0.3']
         for fault in _FAULTS:
             options.extend(('--fault', fault))
@@ -113,9 +113,9 @@
         async def disturb(_cluster: Cluster) -> None:
             await asyncio.sleep(0)
 
-        self._prove(shape, disturb)
+        self._check_at_most_once(shape, disturb)
 
-    def _prove(
+    def _check_at_most_once(
         self,
         shape: Shape,
         disturb: _Disturb,
@@ -130,8 +130,8 @@
         self.assertEqual([], violations_of(keyed, runs))
         answered = sum(call.is_answered for call in keyed)
         self.assertThat(answered, GreaterThan(len(keyed) // 2))
-        # Callers who resend blindly through the same failures have work run
-        # twice: else these failures would prove nothing.
+        # Callers that resend without keys must see duplicate runs under the
+        # same failures; otherwise the failures would not test anything.
         doubled = [
             broken
             for broken in violations_of(blind, runs)
@@ -151,7 +151,7 @@
     applied = cluster.command_line('apply', str(text))
     assert applied.returncode == 0, applied.stderr
     cluster.wait_until_ready()
-    await asyncio.sleep(_ANNOUNCED_S)
+    await asyncio.sleep(_ANNOUNCE_WAIT_S)
     keyed = KeyedLoad(
         cluster.entries,
         'billing',
@@ -166,7 +166,7 @@
         seed=2,
         has_keys=False,
     )
-    driving = asyncio.gather(keyed.run(_LENGTH_S), blind.run(_LENGTH_S))
+    driving = asyncio.gather(keyed.run(_LOAD_S), blind.run(_LOAD_S))
     await asyncio.sleep(_STEP_S / 2)
     await disturb(cluster)
     await driving
--- a/proofs/test_rollout.py
+++ b/proofs/test_rollout.py
@@ -1,4 +1,4 @@
-"""Prove that accepted texts reach every entry and never go back."""
+"""Check that accepted configurations reach every entry and never revert."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 from bench.cluster import Cluster, Process, Shape
 from bench.relay import Relay
-from proofs.rollout_watch import Watcher, see
+from proofs.rollout_watch import VersionWatcher, read_version
 from wigeonreach.cli._client import followers_by_name, status_of_all
 from wigeonreach.codes import ResultCode
 from wigeonreach.state import StateClient
@@ -29,8 +29,8 @@
 
 _CONFLICT = ResultCode.STATE_CONFLICT
 _FOLDER = pathlib.Path('run/proof-rollout')
-_IN_FORCE_S = 7.0
-# A follower may begin with a far replica and return to the near one.
+_ROLLOUT_TIMEOUT_S = 7.0
+# A follower may connect to a remote replica first and return to the near one.
 _SETTLED_S = 20.0
 _POLL_S = 0.05
 _SHAPE = Shape(
@@ -62,17 +62,17 @@
         self.cluster.start()
         self.assertThat(self.change(0).version, Equals(1))
         self.cluster.wait_until_ready()
-        self.watcher = Watcher(self.cluster.entries)
+        self.watcher = VersionWatcher(self.cluster.entries)
         self.watcher.start()
         self.addCleanup(self.check_versions)
 
     def check_versions(self) -> None:
-        """No entry answered with an older version than it did before."""
+        """Check that no entry reported an older version than before."""
         self.assertThat(self.watcher.finish(), Equals([]))
-        self.assertThat(len(self.watcher.sightings), GreaterThan(0))
+        self.assertThat(len(self.watcher.observations), GreaterThan(0))
 
     def client(self, first: str = '') -> StateClient:
-        """Return a client that asks the replica of one zone first."""
+        """Return a client that prefers the replica of one zone."""
         replicas = sorted(
             self.cluster.replicas,
             key=lambda replica: replica.zone != first,
@@ -83,16 +83,16 @@
         )
 
     def change(self, base: int, slots: int = 0, zone: str = '') -> Reply:
-        """Accept one change without waiting until it is in force."""
+        """Submit one change without waiting until it is in force."""
         action = ChangeText(base, _TEXT.format(slots=slots))
         return asyncio.run(self.client(zone).submit(action))
 
     def apply(
         self,
         slots: int,
-        wait_s: float = _IN_FORCE_S,
+        wait_s: float = _ROLLOUT_TIMEOUT_S,
     ) -> subprocess.CompletedProcess[str]:
-        """Apply a text as an operator does."""
+        """Apply a configuration with the command line."""
         path = _FOLDER / 'text.toml'
         path.write_text(_TEXT.format(slots=slots))
         return self.cluster.command_line(
@@ -107,22 +107,22 @@
         return next(one for one in self.cluster.entries if one.name == name)
 
     def wait_version(self, entry: Process, version: int) -> None:
-        """Wait until an entry answers with a version."""
+        """Wait until an entry reports at least a version."""
         self.wait_until(lambda: _version(entry) >= version)
 
     def wait_until(
         self,
         is_done: Callable[[], bool],
-        timeout_s: float = _IN_FORCE_S,
+        timeout_s: float = _ROLLOUT_TIMEOUT_S,
     ) -> None:
-        """Wait, and by default no longer than a change may take."""
+        """Wait for a condition, by default at most as long as a rollout."""
         ends_s = time.monotonic() + timeout_s
         while not is_done():
             self.assertThat(ends_s, GreaterThan(time.monotonic()))
             time.sleep(_POLL_S)
 
-    def wait_followed(self, replica: Process) -> None:
-        """Wait until the entries of a replica's zone follow it."""
+    def wait_until_followed(self, replica: Process) -> None:
+        """Wait until all entries of a replica's zone follow that replica."""
         members = [replica.member]
         near = {
             entry.name
@@ -138,8 +138,8 @@
             ),
         )
 
-    def cut_zone_c(self) -> None:
-        """Cut zone c off from the others."""
+    def isolate_zone_c(self) -> None:
+        """Cut zone c off from the other zones."""
         inside = {
             process.name
             for process in self.cluster.processes()
@@ -149,7 +149,7 @@
         self.relay.cut_between(inside, outside)
 
     def test_equal_numbers(self) -> None:
-        """Of operators with one base through three replicas, one wins."""
+        """Of three concurrent changes with the same base, one is accepted."""
 
         async def race(base: int) -> list[Reply]:
             return await asyncio.gather(
@@ -171,7 +171,7 @@
         self.wait_version(self.entry('entry-c1'), 6)
 
     def test_resend(self) -> None:
-        """A resend through any replica gets the first result, once applied."""
+        """A resent change returns the first result and is applied once."""
         path = _FOLDER / 'text.toml'
         path.write_text(_TEXT.format(slots=5))
         words = ('apply', str(path), '--base', '1', '--change-id', 'x')
@@ -190,7 +190,7 @@
 
     def test_pusher_killed(self) -> None:
         """A zone whose replica is killed follows another one."""
-        self.wait_followed(self.cluster.replicas[1])
+        self.wait_until_followed(self.cluster.replicas[1])
         self.cluster.replicas[1].send(signal.SIGKILL)
 
         applied = self.apply(slots=2)
@@ -199,8 +199,8 @@
         self.assertThat(_version(self.entry('entry-b0')), Equals(2))
 
     def test_pusher_frozen(self) -> None:
-        """A replica that is silent on open channels is left for another."""
-        self.wait_followed(self.cluster.replicas[2])
+        """Entries leave a suspended replica for another one."""
+        self.wait_until_followed(self.cluster.replicas[2])
         self.cluster.replicas[2].send(signal.SIGSTOP)
 
         applied = self.apply(slots=2)
@@ -210,13 +210,13 @@
         self.assertThat(_version(self.entry('entry-c1')), Equals(2))
 
     def test_zone_cut(self) -> None:
-        """A cut-off zone goes on, is named, and catches up once healed."""
-        self.cut_zone_c()
+        """A cut-off zone keeps serving, is reported and later catches up."""
+        self.isolate_zone_c()
         applied = self.apply(slots=2, wait_s=4)
         cut_off = self.entry('entry-c0')
         status = self.cluster.command_line('status')
-        unaware = see(cut_off)
-        aware = see(cut_off, known=2)
+        unaware = read_version(cut_off)
+        aware = read_version(cut_off, known=2)
         self.relay.heal()
         self.wait_version(cut_off, 2)
         self.wait_version(self.entry('entry-c1'), 2)
@@ -230,41 +230,41 @@
         self.assertThat(aware.status, Equals(503))
 
     def test_restart_after_300(self) -> None:
-        """An entry that missed 300 changes answers with the newest first."""
+        """A restarted entry that missed 300 changes reports only the newest."""
         entry = self.entry('entry-a0')
         entry.send(signal.SIGKILL)
         entry.wait()
-        asyncio.run(self.change_often(300))
-        before = len(self.watcher.sightings)
+        asyncio.run(self.submit_changes(300))
+        before = len(self.watcher.observations)
         entry.start()
         self.wait_until(entry.is_ready)
         self.wait_version(entry, 301)
 
         answers = [
             seen.version
-            for seen in self.watcher.sightings[before:]
+            for seen in self.watcher.observations[before:]
             if seen.entry == entry.name
         ]
         self.assertThat(answers, AllMatch(Equals(301)))
 
     def test_restart_cut_off(self) -> None:
-        """A restart beside a replica that is behind asks the zone's peers."""
+        """A restarted entry whose replica is behind asks its zone's peers."""
         entry = self.entry('entry-c0')
         self.relay.cut_between({'replica-c'}, {'replica-a', 'replica-b'})
         self.change(1, slots=2)
         self.wait_version(entry, 2)
         self.wait_version(self.entry('entry-c1'), 2)
-        self.cut_zone_c()
+        self.isolate_zone_c()
         entry.send(signal.SIGKILL)
         entry.wait()
-        before = len(self.watcher.sightings)
+        before = len(self.watcher.observations)
         entry.start()
         self.wait_until(entry.is_ready)
         time.sleep(0.5)
 
         answers = [
             seen.version
-            for seen in self.watcher.sightings[before:]
+            for seen in self.watcher.observations[before:]
             if seen.entry == entry.name
         ]
         self.assertThat(answers, GreaterThan([]))
@@ -282,8 +282,8 @@
             replica for replica in self.cluster.replicas if replica.name == name
         )
 
-    async def change_often(self, count: int) -> None:
-        """Accept many changes one after the other."""
+    async def submit_changes(self, count: int) -> None:
+        """Submit changes one after the other."""
         client = self.client()
         for base in range(1, count + 1):
             text = _TEXT.format(slots=base)
@@ -292,5 +292,5 @@
 
 
 def _version(entry: Process) -> int:
-    sighting = see(entry)
-    return 0 if sighting is None else sighting.version
+    observation = read_version(entry)
+    return 0 if observation is None else observation.version
--- a/proofs/test_shutdown.py
+++ b/proofs/test_shutdown.py
@@ -1,4 +1,4 @@
-"""Prove that a graceful stop cuts off nothing, whatever else happens."""
+"""Check that a graceful stop of an entry loses no request."""
 
 from __future__ import annotations
 
@@ -30,18 +30,18 @@
     targets_per_service=4,
     service_time_s=0.1,
 )
-_BEFORE_S = 1.0
-_LENGTH_S = 4.0
+_WARMUP_S = 1.0
+_LOAD_S = 4.0
 _RATE_PER_S = 120.0
 _CALLERS = 48
-_AT_ONCE_S = 0.5
-_FORCED = '"number": 104'
+_FORCED_EXIT_LIMIT_S = 0.5
+_FORCED_EXIT_EVENT = '"number": 104'
 
 
 class TestShutdown(testtools.TestCase):
-    """Each proof stops entries while callers go on sending."""
+    """Each test stops entries while callers keep sending."""
 
-    def _play(self, disturb: Disturb, length_s: float = _LENGTH_S) -> Played:
+    def _run_fault(self, disturb: Disturb, length_s: float = _LOAD_S) -> Played:
         folder = tempfile.TemporaryDirectory(prefix='shutdown-')
         self.addCleanup(folder.cleanup)
         self.folder = pathlib.Path(folder.name) / 'run'
@@ -55,19 +55,19 @@
         self.assertThat(len(played.calls), GreaterThan(0))
 
     def test_callers_that_ignore_readiness(self) -> None:
-        """Not one request on a kept-alive connection is lost."""
+        """No request on a kept-alive connection is lost."""
         outcomes: collections.Counter[str] = collections.Counter()
 
         async def disturb(stage: Stage) -> None:
             stopped = stage.cluster.entries[0]
             callers = KeptAliveCallers(stopped, SERVICE)
             calling = asyncio.ensure_future(callers.run(_CALLERS))
-            await asyncio.sleep(_BEFORE_S)
+            await asyncio.sleep(_WARMUP_S)
             await _stop(stopped)
             await calling
             outcomes.update(callers.outcomes)
 
-        self._check(self._play(disturb, length_s=3.5))
+        self._check(self._run_fault(disturb, length_s=3.5))
         self.assertThat(outcomes['lost'], Equals(0))
         self.assertThat(outcomes['refused'], Equals(_CALLERS))
         self.assertThat(outcomes['ran'], GreaterThan(_CALLERS))
@@ -76,11 +76,11 @@
         """Two of three entries stop at once; the third takes over."""
 
         async def disturb(stage: Stage) -> None:
-            await asyncio.sleep(_BEFORE_S)
+            await asyncio.sleep(_WARMUP_S)
             first, second, _ = stage.cluster.entries
             await asyncio.gather(_stop(first), _stop(second))
 
-        played = self._play(disturb)
+        played = self._run_fault(disturb)
         self._check(played)
         after = [call for call in played.calls if call.is_answered]
         self.assertThat(
@@ -89,11 +89,11 @@
         )
 
     def test_frozen_and_killed(self) -> None:
-        """One entry stops after it slept, while another is killed."""
+        """One entry stops after it was suspended, while another is killed."""
 
         async def disturb(stage: Stage) -> None:
             frozen, killed, _ = stage.cluster.entries
-            await asyncio.sleep(_BEFORE_S)
+            await asyncio.sleep(_WARMUP_S)
             frozen.send(signal.SIGSTOP)
             frozen.send(signal.SIGTERM)
             killed.send(signal.SIGKILL)
@@ -101,18 +101,18 @@
             frozen.send(signal.SIGCONT)
             await asyncio.to_thread(frozen.wait)
 
-        played = self._play(disturb)
-        # Only a kill cuts off what was in flight.
+        played = self._run_fault(disturb)
+        # Only requests in flight in the killed entry may be lost.
         lost = {call.entry for call in played.calls if call.outcome == 'lost'}
         self.assertThat(lost - {'entry-a1'}, Equals(set()))
 
     def test_second_signal(self) -> None:
-        """A second signal ends the entry at once, with a numbered event."""
+        """A second signal stops the entry at once and logs a numbered event."""
         took: list[float] = []
 
         async def disturb(stage: Stage) -> None:
             stopped = stage.cluster.entries[0]
-            await asyncio.sleep(_BEFORE_S)
+            await asyncio.sleep(_WARMUP_S)
             stopped.send(signal.SIGTERM)
             await asyncio.sleep(0.2)
             began_s = time.monotonic()
@@ -121,11 +121,11 @@
             took.append(time.monotonic() - began_s)
             self.assertThat(status, Equals(1))
 
-        self._play(disturb, length_s=2.5)
+        self._run_fault(disturb, length_s=2.5)
         log = (self.folder / 'entry-a0.log').read_text()
-        self.assertThat(log, Contains(_FORCED))
+        self.assertThat(log, Contains(_FORCED_EXIT_EVENT))
         self.assertThat(took, HasLength(1))
-        self.assertThat(took[0], LessThan(_AT_ONCE_S))
+        self.assertThat(took[0], LessThan(_FORCED_EXIT_LIMIT_S))
 
 
 async def _stop(entry: Process) -> None:
--- a/proofs/test_slots.py
+++ b/proofs/test_slots.py
@@ -1,4 +1,4 @@
-"""Prove that no target ever runs more than its slots, whatever entries do."""
+"""Check that no target exceeds its slots despite failures of entries."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 _SLOTS = 8
 _FIXED_SHARE = 4
 _RATE_PER_S = 60.0
-_FAR_RATE_PER_S = 40.0
-_ANNOUNCED_S = 2.0
-# Runs are long enough to span a failure, and all but never reach the bound
-# of the deadline and its grace.
+_ZONE_B_RATE_PER_S = 40.0
+_ANNOUNCE_WAIT_S = 2.0
+# Long enough for runs to overlap a failure, and short enough to end well
+# before the deadline and its grace period.
 _SERVICE_TIME_S = 0.25
 _DEADLINE_S = 4.0
 _TAKEOVER_S = 1.0 + _DEADLINE_S + 0.5
@@ -59,7 +59,7 @@
     """Two entries share two targets of eight slots under twice their load."""
 
     def test_cut_and_frozen(self) -> None:
-        """Entries that are frozen or cut off keep within the slots."""
+        """Entries that are suspended or cut off stay within the slots."""
         relay = Relay()
         self.addCleanup(relay.close)
         cluster = self._cluster(relay)
@@ -83,7 +83,7 @@
         self._check(cluster, asyncio.run(_drive(cluster, disturb)))
 
     def test_killed(self) -> None:
-        """A killed entry's share is used in time, and never twice."""
+        """A killed entry's share is taken over in time, and never twice."""
         cluster = self._cluster(None)
         alone: list[float] = []
 
@@ -108,18 +108,18 @@
         runs = self._check(cluster, asyncio.run(_drive(cluster, disturb)))
         began_s, ended_s = alone
         while_alone = [run for run in runs if began_s < run.at_s < ended_s]
-        self.assertThat(_most_running(while_alone), GreaterThan(_FIXED_SHARE))
+        self.assertThat(_max_running(while_alone), GreaterThan(_FIXED_SHARE))
 
     def test_other_zone(self) -> None:
-        """A zone without targets is served by another, within the cap."""
+        """A zone without targets is served by another zone, within the cap."""
         cluster = self._cluster(None, _TWO_ZONES)
 
-        calls = asyncio.run(_drive_far(cluster))
+        calls = asyncio.run(_drive_zone_b(cluster))
 
         answered = sum(call.is_answered for call in calls)
         self.assertThat(answered, GreaterThan(len(calls) / 2))
         runs = read_run_log(cluster.run_log)
-        self.assertThat(_most_running(runs), Equals(_FOREIGN_CAP))
+        self.assertThat(_max_running(runs), Equals(_FOREIGN_CAP))
 
     def _cluster(
         self,
@@ -139,14 +139,14 @@
             if violation.endswith('runs at once')
         ]
         self.assertThat(too_many, HasLength(0))
-        # Without full targets the proof would prove nothing.
-        self.assertThat(_most_running(runs), Equals(_SLOTS))
+        # The check is meaningful only if targets were fully used.
+        self.assertThat(_max_running(runs), Equals(_SLOTS))
         return runs
 
 
 async def _drive(cluster: Cluster, disturb: _Disturb) -> list[Call]:
     await _start(cluster)
-    await _borrow(cluster)
+    await _drive_until_lent(cluster)
     loads = [
         Load([entry], _SHAPE.services, _RATE_PER_S, seed)
         for seed, entry in enumerate(cluster.entries)
@@ -160,10 +160,10 @@
     return [call for load in loads for call in load.calls]
 
 
-async def _drive_far(cluster: Cluster) -> list[Call]:
+async def _drive_zone_b(cluster: Cluster) -> list[Call]:
     await _start(cluster)
     far = [entry for entry in cluster.entries if entry.zone == 'b']
-    return await Load(far, _SHAPE.services, _FAR_RATE_PER_S).run(5)
+    return await Load(far, _SHAPE.services, _ZONE_B_RATE_PER_S).run(5)
 
 
 async def _start(cluster: Cluster) -> None:
@@ -173,15 +173,16 @@
     applied = cluster.command_line('apply', str(text))
     assert applied.returncode == 0, applied.stderr
     cluster.wait_until_ready()
-    await asyncio.sleep(_ANNOUNCED_S)
+    await asyncio.sleep(_ANNOUNCE_WAIT_S)
 
 
-async def _borrow(cluster: Cluster) -> None:
-    # All callers use one entry, so that it holds loans when the rest begins.
+async def _drive_until_lent(cluster: Cluster) -> None:
+    # All callers use one entry, so that it has borrowed slots when the
+    # faults begin.
     await Load(cluster.entries[:1], _SHAPE.services, _RATE_PER_S).run(3)
     runs = read_run_log(cluster.run_log)
-    assert _most_running(runs) > _FIXED_SHARE, 'nothing was lent'
+    assert _max_running(runs) > _FIXED_SHARE, 'nothing was lent'
 
 
-def _most_running(runs: list[RunLine]) -> int:
+def _max_running(runs: list[RunLine]) -> int:
     return max(run.running for run in runs if run.kind is RunKind.START)
--- a/proofs/test_state.py
+++ b/proofs/test_state.py
@@ -1,4 +1,4 @@
-"""Break replicas under a stream of changes; none acknowledged may be lost."""
+"""Check that replica failures lose no acknowledged change."""
 
 from __future__ import annotations
 
@@ -29,13 +29,13 @@
     services=(),
     targets_per_service=0,
 )
-_SOME_CHANGES = 40
+_CHANGES_PER_STEP = 40
 _WAIT_S = 20.0
 _FREEZE_S = 3.0
 
 
 class TestReplicas(testtools.TestCase):
-    """Three replicas, one of which fails in each way."""
+    """Three replicas, one of which fails in each of several ways."""
 
     def setUp(self) -> None:
         """Start the replicas and a stream of changes."""
@@ -50,78 +50,78 @@
         self.stream = ChangeStream(self.cluster.replicas)
         self.stream.start()
         self.addCleanup(self.stream.stop)
-        self.stream.wait_for_more(_SOME_CHANGES)
+        self.stream.wait_for_more(_CHANGES_PER_STEP)
 
     def test_killed_leaders(self) -> None:
-        """Leaders killed one after the other cost a pause, and no change."""
+        """Killing leaders one after the other loses no change."""
         for _ in range(3):
             leader = self._leader()
             leader.send(signal.SIGKILL)
             leader.wait()
-            self.stream.wait_for_more(_SOME_CHANGES)
+            self.stream.wait_for_more(_CHANGES_PER_STEP)
             leader.start()
             self._wait_role(leader, 'follower')
         self._check_nothing_lost()
 
     def test_frozen_leader_wakes(self) -> None:
-        """A leader that was stopped for a while follows when it wakes."""
+        """A leader that was suspended becomes a follower when resumed."""
         frozen = self._leader()
         frozen.send(signal.SIGSTOP)
         time.sleep(_FREEZE_S)
-        self.stream.wait_for_more(_SOME_CHANGES)
+        self.stream.wait_for_more(_CHANGES_PER_STEP)
         frozen.send(signal.SIGCONT)
-        self.stream.wait_for_more(_SOME_CHANGES)
+        self.stream.wait_for_more(_CHANGES_PER_STEP)
         self.assertNotEqual(frozen.name, self._leader().name)
         self._check_nothing_lost()
 
     def test_cut_off_leader(self) -> None:
-        """A leader that is cut off silently leads no more."""
+        """A leader that is cut off steps down."""
         isolated = self._leader()
         others = {replica.name for replica in self._others(isolated)}
         self.relay.cut_between({isolated.name}, others)
-        self.stream.wait_for_more(_SOME_CHANGES)
+        self.stream.wait_for_more(_CHANGES_PER_STEP)
         self._wait_role(isolated, 'follower')
         self.relay.heal()
-        self.stream.wait_for_more(_SOME_CHANGES)
+        self.stream.wait_for_more(_CHANGES_PER_STEP)
         self._check_nothing_lost()
 
     def test_leader_that_only_hears(self) -> None:
-        """A leader whose messages don't arrive is replaced."""
+        """A leader that receives messages but can't send is replaced."""
         mute = self._leader()
         for other in self._others(mute):
             self.relay.cut_one_way(mute.name, other.name)
-        self.stream.wait_for_more(_SOME_CHANGES)
+        self.stream.wait_for_more(_CHANGES_PER_STEP)
         self._wait_role(mute, 'follower')
         self.relay.heal()
-        self.stream.wait_for_more(_SOME_CHANGES)
+        self.stream.wait_for_more(_CHANGES_PER_STEP)
         self._check_nothing_lost()
 
     def test_leader_that_only_speaks(self) -> None:
-        """A leader that hears no answers steps down."""
+        """A leader that sends messages but receives none steps down."""
         deaf = self._leader()
         for other in self._others(deaf):
             self.relay.cut_one_way(other.name, deaf.name)
-        self.stream.wait_for_more(_SOME_CHANGES)
+        self.stream.wait_for_more(_CHANGES_PER_STEP)
         self._wait_role(deaf, 'follower')
         self.relay.heal()
-        self.stream.wait_for_more(_SOME_CHANGES)
+        self.stream.wait_for_more(_CHANGES_PER_STEP)
         self._check_nothing_lost()
 
     def test_lost_folder_and_then_another_voter(self) -> None:
-        """A repaired replica counts, so that the next one may be lost."""
+        """A rebuilt replica votes again, so that another may be lost."""
         first, second = self._others(self._leader())
-        self._lose_folder(first)
-        self._start_counted(first)
-        self._lose_folder(second)
-        self.stream.wait_for_more(_SOME_CHANGES)
-        self._start_counted(second)
+        self._kill_and_delete_folder(first)
+        self._start_until_voter(first)
+        self._kill_and_delete_folder(second)
+        self.stream.wait_for_more(_CHANGES_PER_STEP)
+        self._start_until_voter(second)
         leader = self._leader()
-        self._lose_folder(leader)
-        self.stream.wait_for_more(_SOME_CHANGES)
+        self._kill_and_delete_folder(leader)
+        self.stream.wait_for_more(_CHANGES_PER_STEP)
         self._check_nothing_lost()
 
     def test_damaged_journal(self) -> None:
-        """A damaged replica says so and is brought up to date by the others."""
+        """A replica with a damaged journal logs it and is rebuilt by others."""
         damaged = self._others(self._leader())[0]
         damaged.send(signal.SIGKILL)
         damaged.wait()
@@ -129,7 +129,7 @@
         content = bytearray(journal.read_bytes())
         content[len(content) // 2] ^= 0xFF
         journal.write_bytes(content)
-        self._start_counted(damaged)
+        self._start_until_voter(damaged)
         self.assertIn(LogEvent.DATA_DAMAGED, self._events(damaged))
         self.assertTrue(list(self._folder(damaged).glob('damaged-*-journal')))
         self._check_nothing_lost()
@@ -156,7 +156,7 @@
     def _folder(self, replica: Process) -> pathlib.Path:
         return self.cluster.folder / f'{replica.name}.data'
 
-    def _lose_folder(self, replica: Process) -> None:
+    def _kill_and_delete_folder(self, replica: Process) -> None:
         replica.send(signal.SIGKILL)
         replica.wait()
         shutil.rmtree(self._folder(replica))
@@ -172,8 +172,8 @@
     def _wait_role(self, replica: Process, role: str) -> None:
         _wait_until(lambda: _role(replica) == role, f'{replica.name} {role}')
 
-    def _start_counted(self, replica: Process) -> None:
-        """Start a replica without a vote and wait until it has one."""
+    def _start_until_voter(self, replica: Process) -> None:
+        """Start a replica and wait until it is a voter again."""
         before = len(self._events(replica))
         replica.start()
         _wait_until(
