--- a/bench/bench_budget.py
+++ b/bench/bench_budget.py
@@ -4,12 +4,12 @@
 
 from collections.abc import Iterable
 
-from bench.figures import Figure, at_most, told
+from bench.figures import Figure, at_most, unbounded
 from bench.fleet_driver import Policy
 from bench.fleet_events import LISTS
 from bench.fleet_layout import USERS, User
 from bench.fleet_runs import CHOSEN, run_list
-from bench.fleet_zones import ZonesRun, unguarded
+from bench.fleet_zones import ZonesRun, guard_violations
 from wigeonreach.fleet import BufferWay
 
 _BENCH = 'budget'
@@ -38,14 +38,14 @@
                 0,
                 len(fixed.report.violations),
             )
-            yield told(
+            yield unbounded(
                 _BENCH,
                 f'{name}: promise missed, worst pool',
                 planned.longest_missing_s,
                 's',
                 fixed.longest_missing_s,
             )
-            yield told(
+            yield unbounded(
                 _BENCH,
                 f'{name}: VMs maintained',
                 planned.run.maintained,
@@ -65,10 +65,10 @@
         _BENCH,
         f'{user.name}, {_CUT}: steps unguarded over all zones, against no'
         ' parts',
-        len(unguarded(user, vms, runs[True].trace)),
+        len(guard_violations(user, vms, runs[True].trace)),
         'steps',
         0,
-        len(unguarded(user, vms, runs[False].trace)),
+        len(guard_violations(user, vms, runs[False].trace)),
     )
     rebooted = [
         line for line in runs[True].operations if line.endswith('reboot')
--- a/bench/bench_buffer.py
+++ b/bench/bench_buffer.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from bench.figures import Figure, at_most, told
+from bench.figures import Figure, at_most, unbounded
 from bench.fleet_layout import USERS, User
 from bench.fleet_runs import CHOSEN, run_list
 from wigeonreach.fleet import BufferWay
@@ -38,26 +38,28 @@
 ) -> Iterable[Figure]:
     size = user.size(way)
     name = f'{user.name} {way}'
-    yield told(_BENCH, f'{name}: VMs', size.vms, 'VMs')
-    yield told(
+    yield unbounded(_BENCH, f'{name}: VMs', size.vms, 'VMs')
+    yield unbounded(
         _BENCH,
         f'{name}: held back',
         size.held_ratio,
         'ratio',
         round(alone_ratio, 3),
     )
-    yield told(_BENCH, f'{name}: floor', size.floor_ratio, 'ratio')
+    yield unbounded(_BENCH, f'{name}: floor', size.floor_ratio, 'ratio')
     for events in _LISTS:
         result = run_list(user, way, events)
         label = f'{name}, {events}'
-        yield told(_BENCH, f'{label}: moves', len(result.run.moves), 'moves')
-        yield told(
+        yield unbounded(
+            _BENCH, f'{label}: moves', len(result.run.moves), 'moves'
+        )
+        yield unbounded(
             _BENCH,
             f'{label}: VMs maintained',
             result.run.maintained,
             'VMs',
         )
-        yield told(
+        yield unbounded(
             _BENCH,
             f'{label}: promise missed',
             result.longest_missing_s,
--- a/bench/bench_capacity.py
+++ b/bench/bench_capacity.py
@@ -18,7 +18,7 @@
 from bench.capacity_manager import manager_figures
 from bench.capacity_state import state_figures
 from bench.cluster import Cluster, Shape
-from bench.figures import Figure, told
+from bench.figures import Figure, unbounded
 from bench.relay import Relay
 from bench.usage import Usage, read_usage
 from wigeonreach.entry._membership import Membership
@@ -64,17 +64,21 @@
 def _record_figures() -> Iterable[Figure]:
     records = _records(_RECORD_COUNT, sequence=1)
     encoded = msgspec.msgpack.encode(Targets(records))
-    yield told(
+    yield unbounded(
         _NAME,
         'record_wire_bytes',
         len(encoded) / _RECORD_COUNT,
         'bytes/record',
     )
-    yield told(_NAME, 'renewal_bytes', _size(_RENEWAL), 'bytes/renewal')
-    yield told(_NAME, 'heartbeat_bytes', _size(_HEARTBEAT), 'bytes/heartbeat')
-    yield told(_NAME, 'record_memory_bytes', _memory_bytes(), 'bytes/record')
+    yield unbounded(_NAME, 'renewal_bytes', _size(_RENEWAL), 'bytes/renewal')
+    yield unbounded(
+        _NAME, 'heartbeat_bytes', _size(_HEARTBEAT), 'bytes/heartbeat'
+    )
+    yield unbounded(
+        _NAME, 'record_memory_bytes', _memory_bytes(), 'bytes/record'
+    )
     merges_us = [_merge_us() for _ in range(_REPEATS)]
-    yield told(
+    yield unbounded(
         _NAME,
         'record_relay_us',
         statistics.median(merges_us),
@@ -135,25 +139,27 @@
     cluster.start()
     cluster.command_line('apply', _TEXT)
     cluster.wait_until_ready()
-    told_entry, _ = cluster.entries
+    announced_entry, _ = cluster.entries
     relay = Relay()
-    links = relay.add('targets', told_entry.name, told_entry.http)
+    links = relay.add('targets', announced_entry.name, announced_entry.http)
     replica = cluster.replicas[0]
-    watched = {process.name: process.pid for process in (told_entry, replica)}
+    watched = {
+        process.name: process.pid for process in (announced_entry, replica)
+    }
     steps = [
         _measure(watched, functools.partial(_announce, links, rate_per_s))
         for rate_per_s in _RATES_PER_S
     ]
-    yield from _idle_figures('entry', steps[0][told_entry.name])
+    yield from _idle_figures('entry', steps[0][announced_entry.name])
     yield from _idle_figures('replica', steps[0][replica.name])
-    yield told(
+    yield unbounded(
         _NAME,
         'announce_http_us',
-        _slope_us([step[told_entry.name] for step in steps]),
+        _slope_us([step[announced_entry.name] for step in steps]),
         'us/announcement',
     )
     sent = sum(_RATES_PER_S) * _STEP_S
-    yield told(
+    yield unbounded(
         _NAME,
         'announce_http_bytes',
         relay.passed_bytes(lambda _: True) / sent,
@@ -164,8 +170,8 @@
 
 def _idle_figures(role: str, usage: Usage) -> Iterable[Figure]:
     share = usage.processor_s / _STEP_S
-    yield told(_NAME, f'{role}_idle_core_share', share, 'cores')
-    yield told(_NAME, f'{role}_memory_bytes', usage.memory_bytes, 'bytes')
+    yield unbounded(_NAME, f'{role}_idle_core_share', share, 'cores')
+    yield unbounded(_NAME, f'{role}_memory_bytes', usage.memory_bytes, 'bytes')
 
 
 def _measure(
--- a/bench/bench_commit.py
+++ b/bench/bench_commit.py
@@ -13,7 +13,7 @@
 import time
 from collections.abc import AsyncIterator, Iterable, Sequence
 
-from bench.figures import Figure, at_least, at_most, told
+from bench.figures import Figure, at_least, at_most, unbounded
 from wigeonreach.observe import LogFormat, LogLevel, Logger, configure_logs
 from wigeonreach.agreement._agreement import RaftAgreement
 from wigeonreach.agreement._disk import FolderDisk
@@ -29,10 +29,10 @@
 _DRAIN_S = 2.0
 _PROPOSERS = 64
 _COMMAND = b'c' * 200
-_ONE_A_MESSAGE = RaftSettings(batch_bytes=1)
+_ONE_CHANGE_PER_MESSAGE = RaftSettings(batch_bytes=1)
 
 
-class _EachAlone(Storage):
+class _UngroupedStorage(Storage):
     """The simpler policy: one sync for each change."""
 
     def write(self, writes: Sequence[Write]) -> None:
@@ -75,7 +75,7 @@
     """
     configure_logs(LogFormat.JSON, LogLevel.ERROR)
     grouped = asyncio.run(_measure(Storage, _PROPOSERS))
-    alone = asyncio.run(_measure(_EachAlone, _PROPOSERS))
+    alone = asyncio.run(_measure(_UngroupedStorage, _PROPOSERS))
     single = asyncio.run(_measure(Storage, 1))
     yield at_least(
         'commit',
@@ -93,15 +93,15 @@
         alone.syncs_per_change / 4,
         alone.syncs_per_change,
     )
-    yield told(
+    yield unbounded(
         'commit',
         'median_wait',
         grouped.median_ms,
         'ms',
         alone.median_ms,
     )
-    yield told('commit', 'one_proposer', single.changes_per_s, '1/s')
-    yield told('commit', 'one_proposer_wait', single.median_ms, 'ms')
+    yield unbounded('commit', 'one_proposer', single.changes_per_s, '1/s')
+    yield unbounded('commit', 'one_proposer_wait', single.median_ms, 'ms')
 
 
 async def _measure(storage_type: type[Storage], proposers: int) -> _Measured:
@@ -182,7 +182,9 @@
                 storage.load(),
                 _fail,
                 Logger(member.name),
-                RaftSettings() if storage_type is Storage else _ONE_A_MESSAGE,
+                RaftSettings()
+                if storage_type is Storage
+                else _ONE_CHANGE_PER_MESSAGE,
             )
             server = await serve(
                 member.address,
--- a/bench/bench_control_bytes.py
+++ b/bench/bench_control_bytes.py
@@ -16,7 +16,7 @@
 from bench.cluster import Cluster, Shape
 from bench.config_costs import TextCosts, median_s, text_costs
 from bench.config_texts import Changer
-from bench.figures import Figure, at_most, told
+from bench.figures import Figure, at_most, unbounded
 from bench.relay import Link, Relay
 from bench.usage import Usage, read_usage
 from wigeonreach import charts
@@ -62,7 +62,7 @@
 
 def _size_figures(costs: Sequence[TextCosts]) -> Iterator[Figure]:
     largest = costs[-1]
-    yield told(_NAME, 'text_bytes', largest.text_bytes, 'bytes')
+    yield unbounded(_NAME, 'text_bytes', largest.text_bytes, 'bytes')
     yield at_most(
         _NAME,
         'change_bytes',
@@ -79,7 +79,7 @@
         _BUDGET_BYTES_PER_S,
         largest.copy_bytes * _CHANGES_PER_S,
     )
-    yield told(
+    yield unbounded(
         _NAME,
         'change_bytes_slope',
         _slope(costs, lambda one: one.delta_bytes),
@@ -94,16 +94,16 @@
     largest = costs[-1]
     slope = _slope(costs, lambda one: one.copy_bytes)
     one_sender = _RESTARTS_PER_S * largest.copy_bytes
-    yield told(_NAME, 'restart_bytes', largest.copy_bytes, 'bytes/restart')
+    yield unbounded(_NAME, 'restart_bytes', largest.copy_bytes, 'bytes/restart')
     # The baseline sends every copy from one process, uncompressed.
-    yield told(
+    yield unbounded(
         _NAME,
         'restarts_bytes_per_s',
         one_sender,
         'bytes/s of one sender',
         _RESTARTS_PER_S * largest.text_bytes,
     )
-    yield told(
+    yield unbounded(
         _NAME,
         'restarts_break_at_text',
         _BUDGET_BYTES_PER_S / _RESTARTS_PER_S / slope,
@@ -147,7 +147,7 @@
         ('read_change', lambda one: one.read_s),
         ('read_whole', lambda one: one.parse_s),
     ):
-        yield told(
+        yield unbounded(
             _NAME,
             f'{name}_slope',
             _slope(costs, cost_of) * _US_PER_S * 1000,
@@ -282,7 +282,7 @@
         ('replica', idle.agree_bytes, busy.agree_bytes),
     ):
         extra = moved - still / idle.length_s * busy.length_s
-        yield told(
+        yield unbounded(
             _NAME,
             f'{role}_change_bytes',
             extra / _CHANGES,
@@ -293,13 +293,13 @@
         ('replica', idle.replica_s, busy.replica_s),
     ):
         extra_s = moved_s - still_s / idle.length_s * busy.length_s
-        yield told(
+        yield unbounded(
             _NAME,
             f'{who}_idle_core_share',
             still_s / idle.length_s,
             'cores',
         )
-        yield told(
+        yield unbounded(
             _NAME,
             f'{who}_change_us',
             extra_s / _CHANGES * _US_PER_S,
--- a/bench/bench_deciding.py
+++ b/bench/bench_deciding.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from bench.figures import Figure, at_most, told
+from bench.figures import Figure, at_most, unbounded
 from wigeonreach.jobs import (
     AddJob,
     BeginTerm,
@@ -47,7 +47,7 @@
 _US_PER_S = 1_000_000
 # From 30 to 1,000 workers a heartbeat may cost this much more; before leases,
 # VMs and rooms were indexed it was 11 times as much.
-_MOST_GROWTH = 2.0
+_MAX_GROWTH = 2.0
 _TASK = StepSpec(6, cpu_millicores=2000, memory_mb=512, estimate_ms=600)
 _SECOND = msgspec.structs.replace(_TASK, after=(0,))
 
@@ -172,10 +172,10 @@
             fleet.step()
         costs_us.append(fleet.spent_s / fleet.heard * _US_PER_S)
         name = f'{size} workers: processor time'
-        yield told(_BENCH, name, costs_us[-1], 'us/heartbeat')
+        yield unbounded(_BENCH, name, costs_us[-1], 'us/heartbeat')
     growth = costs_us[-1] / costs_us[0]
     name = f'{_SIZES[-1]} workers over {_SIZES[0]}'
-    yield at_most(_BENCH, name, growth, 'ratio', _MOST_GROWTH)
+    yield at_most(_BENCH, name, growth, 'ratio', _MAX_GROWTH)
 
 
 def _manifest(pools: list[str]) -> Manifest:
--- a/bench/bench_hotpath.py
+++ b/bench/bench_hotpath.py
@@ -10,7 +10,7 @@
 import aiohttp
 
 from bench.cluster import Cluster, Process, Shape
-from bench.figures import Figure, at_most, told
+from bench.figures import Figure, at_most, unbounded
 from bench.open_loop import percentile_of_s
 from bench.small_fleet import laid_out_fleet, start_fleet
 from bench.usage import read_usage
@@ -76,21 +76,21 @@
 
 
 def _figures(callers: int, direct: Level, through: Level) -> Iterator[Figure]:
-    yield told(
+    yield unbounded(
         _BENCH,
         f'processor_us_per_request_at_{callers}',
         through.processor_us_per_request,
         'us',
         round(direct.processor_us_per_request, 6),
     )
-    yield told(
+    yield unbounded(
         _BENCH,
         f'median_us_at_{callers}',
         through.median_us,
         'us',
         round(direct.median_us, 6),
     )
-    yield told(
+    yield unbounded(
         _BENCH,
         f'answered_per_s_at_{callers}',
         len(through.taken_s) / _LENGTH_S,
--- a/bench/bench_keys.py
+++ b/bench/bench_keys.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from bench.cluster import Cluster, Process, Shape
-from bench.figures import Figure, at_most, told
+from bench.figures import Figure, at_most, unbounded
 from bench.quorum_log import QuorumLog
 
 _BENCH = 'keys'
@@ -23,7 +23,7 @@
 _ANNOUNCED_S = 2.0
 _MS_PER_S = 1000
 # An issued key costs one more request to an entry, and no disk.
-_MOST_RATIO = 2.0
+_MAX_RATIO = 2.0
 _TEXT = """
 [fleet]
 name = "keys"
@@ -62,16 +62,16 @@
     plain_s = taken_s['no_key']
     quorum_ratio = taken_s['quorum_write'] / plain_s
     for way, median_s in taken_s.items():
-        yield told(_BENCH, f'{way}_p50', median_s * _MS_PER_S, 'ms')
+        yield unbounded(_BENCH, f'{way}_p50', median_s * _MS_PER_S, 'ms')
     yield at_most(
         _BENCH,
         'issued_key_at_owner_to_no_key',
         taken_s['issued_key_at_owner'] / plain_s,
         'ratio',
-        _MOST_RATIO,
+        _MAX_RATIO,
         quorum_ratio,
     )
-    yield told(
+    yield unbounded(
         _BENCH,
         'issued_key_elsewhere_to_no_key',
         taken_s['issued_key_elsewhere'] / plain_s,
--- a/bench/bench_leave.py
+++ b/bench/bench_leave.py
@@ -7,25 +7,25 @@
 import pathlib
 from collections.abc import Iterable
 
-from bench.figures import Figure, at_most, told
+from bench.figures import Figure, at_most, unbounded
 from bench.leaving import (
     LEASES_ALONE,
     ZONE,
-    Disturb,
-    Stage,
+    FaultScript,
+    ZoneUnderTest,
     leave,
-    play,
+    run_under_load,
 )
 
 _NAME = 'leave'
 _FOLDER = pathlib.Path('run/bench-leave')
-_LEAVER = 'records-0'
-_BEFORE_S = 1.0
+_LEAVING_TARGET = 'records-0'
+_WARMUP_S = 1.0
 _LENGTH_S = 4.5
-_BOUND_S = 2.0
+_LAST_WORK_LIMIT_S = 2.0
 # The simpler policy: a record is trusted until its lease ends, and a target
 # tells its state nowhere but in announcements, which come at the same rate.
-_SIMPLER = dataclasses.replace(
+_LEASE_ONLY_SHAPE = dataclasses.replace(
     ZONE,
     target_options=(*ZONE.target_options, '--naive'),
     entry_options=LEASES_ALONE,
@@ -38,21 +38,21 @@
     yield from _compare('told_entry_cut_off', _leave_cut_off)
 
 
-def _compare(figure: str, disturb: Disturb) -> Iterable[Figure]:
-    measured = play(_FOLDER, disturb, _LENGTH_S)
-    simpler = play(_FOLDER, disturb, _LENGTH_S, _SIMPLER)
-    last_s = measured.last_new_work_s(_LEAVER)
+def _compare(figure: str, disturb: FaultScript) -> Iterable[Figure]:
+    measured = run_under_load(_FOLDER, disturb, _LENGTH_S)
+    simpler = run_under_load(_FOLDER, disturb, _LENGTH_S, _LEASE_ONLY_SHAPE)
+    last_s = measured.last_new_work_s(_LEAVING_TARGET)
     yield at_most(
         _NAME,
         f'{figure}_last_new_work',
         last_s,
         's',
-        bound=_BOUND_S,
-        baseline=simpler.last_new_work_s(_LEAVER),
+        bound=_LAST_WORK_LIMIT_S,
+        baseline=simpler.last_new_work_s(_LEAVING_TARGET),
     )
     answered = sum(call.is_answered for call in measured.calls)
     answered_simpler = sum(call.is_answered for call in simpler.calls)
-    yield told(
+    yield unbounded(
         _NAME,
         f'{figure}_answered_share',
         answered / len(measured.calls),
@@ -61,15 +61,15 @@
     )
 
 
-async def _leave_quietly(stage: Stage) -> None:
-    await asyncio.sleep(_BEFORE_S)
+async def _leave_quietly(stage: ZoneUnderTest) -> None:
+    await asyncio.sleep(_WARMUP_S)
     leave([stage.cluster.targets[0]])
 
 
-async def _leave_cut_off(stage: Stage) -> None:
+async def _leave_cut_off(stage: ZoneUnderTest) -> None:
     leaver = stage.cluster.targets[0]
     entry = stage.cluster.entries[0]
-    await asyncio.sleep(_BEFORE_S)
-    stage.let_tell_only(leaver, entry)
+    await asyncio.sleep(_WARMUP_S)
+    stage.cut_off_except(leaver, entry)
     stage.isolate(entry)
     leave([leaver])
--- a/bench/bench_moves.py
+++ b/bench/bench_moves.py
@@ -5,7 +5,7 @@
 import dataclasses
 from collections.abc import Iterable
 
-from bench.figures import Figure, at_most, told
+from bench.figures import Figure, at_most, unbounded
 from bench.fleet_driver import Policy
 from bench.fleet_layout import USERS
 from bench.fleet_runs import CHOSEN, run_list
@@ -31,14 +31,14 @@
             undamped_moves / 2,
             undamped_moves,
         )
-        yield told(
+        yield unbounded(
             _BENCH,
             f'{user.name}: moves a day, against undamped but never back',
             len(damped.run.moves),
             'moves',
             len(staying.run.moves),
         )
-        yield told(
+        yield unbounded(
             _BENCH,
             f'{user.name}: promise missed',
             damped.longest_missing_s,
--- a/bench/bench_overload.py
+++ b/bench/bench_overload.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable, Iterator, Sequence
 
 from bench.cluster import Cluster, Shape
-from bench.figures import Figure, at_least, at_most, told
+from bench.figures import Figure, at_least, at_most, unbounded
 from bench.open_loop import Sample, Stream, drive, percentile_s
 from bench.small_fleet import laid_out_fleet, start_fleet
 from wigeonreach.codes import ResultCode
@@ -105,7 +105,7 @@
         'ratio',
         _MAX_REFUSAL_SHARE,
     )
-    yield told(
+    yield unbounded(
         _BENCH,
         'refused_after_waiting_share_at_4',
         _waited_share(ours[-1]),
@@ -119,7 +119,7 @@
         ('p99_s', 's'),
         ('runs_per_answer', 'ratio'),
     ):
-        yield told(
+        yield unbounded(
             _BENCH,
             f'{name}_at_{mine.load:g}',
             getattr(mine, name),
--- a/bench/bench_planner.py
+++ b/bench/bench_planner.py
@@ -7,7 +7,7 @@
 import tracemalloc
 from collections.abc import Iterable
 
-from bench.figures import Figure, at_most, told
+from bench.figures import Figure, at_most, unbounded
 from bench.fleet_large import large_run, sizes
 
 _BENCH = 'planner'
@@ -38,15 +38,15 @@
         memory[vms] = tracemalloc.get_traced_memory()[0] / vms
         tracemalloc.stop()
         name = f'{vms} VMs'
-        yield told(_BENCH, f'{name}: full plan', full_us[vms], 'us/VM')
-        yield told(
+        yield unbounded(_BENCH, f'{name}: full plan', full_us[vms], 'us/VM')
+        yield unbounded(
             _BENCH,
             f'{name}: one event, against a full plan',
             event_us[vms],
             'us',
             round(full_us[vms] * vms),
         )
-        yield told(_BENCH, f'{name}: memory', memory[vms], 'bytes/VM')
+        yield unbounded(_BENCH, f'{name}: memory', memory[vms], 'bytes/VM')
     growth = f'{_LARGE} VMs over {_SMALL}'
     yield at_most(
         _BENCH,
--- a/bench/bench_recovery.py
+++ b/bench/bench_recovery.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from bench.figures import Figure, at_most, told
+from bench.figures import Figure, at_most, unbounded
 from wigeonreach.agreement._disk import FolderDisk
 from wigeonreach.state._machine import Machine
 from wigeonreach.agreement._raft_log import RaftLog
@@ -25,15 +25,15 @@
 )
 from wigeonreach.wire._raft_messages import EntryKind, LogEntry
 
-_CHANGES_A_DAY = 29_000
+_CHANGES_PER_DAY = 29_000
 _LEASE_S = 3600.0
 _SNAPSHOT_ENTRIES = 4096
 _SNAPSHOT_BYTES = 4 * 1024 * 1024
 _TRAILING = 1024
 _MS_PER_S = 1000
-_TODAY_VMS = 40
-_LETTER_VMS = 22_000
-_LETTER_TEAMS = 1200
+_CURRENT_VMS = 40
+_PLANNED_VMS = 22_000
+_PLANNED_TEAMS = 1200
 
 
 def run() -> Iterable[Figure]:
@@ -45,14 +45,14 @@
         Restart times with the same log without a snapshot as the baseline,
         and the cost of a whole snapshot beside the log it replaces.
     """
-    for vms in (_TODAY_VMS, _LETTER_VMS):
+    for vms in (_CURRENT_VMS, _PLANNED_VMS):
         yield from _restarts(vms)
-    yield from _snapshot_cost('today', _filled(_TODAY_VMS, teams=0))
-    yield from _snapshot_cost('letter', _filled(_LETTER_VMS, _LETTER_TEAMS))
+    yield from _snapshot_cost('today', _filled(_CURRENT_VMS, teams=0))
+    yield from _snapshot_cost('letter', _filled(_PLANNED_VMS, _PLANNED_TEAMS))
 
 
 def _restarts(vms: int) -> Iterable[Figure]:
-    for entries in (_SNAPSHOT_ENTRIES, _CHANGES_A_DAY, 2 * _CHANGES_A_DAY):
+    for entries in (_SNAPSHOT_ENTRIES, _CHANGES_PER_DAY, 2 * _CHANGES_PER_DAY):
         log = RaftLog(entries=list(_entries(vms, entries)))
         without_s = _restart_s(log, None)
         with_s = _restart_s(log, _snapshot_behind(log))
@@ -131,7 +131,7 @@
     machine = Machine()
     number = 1
     machine.apply(number, _command(0, ChangeText(0, _text(teams))))
-    for entry in _entries(vms, vms + _CHANGES_A_DAY):
+    for entry in _entries(vms, vms + _CHANGES_PER_DAY):
         number += 1
         machine.apply(number, entry.command)
     assert machine.state.accepted.version == 1
@@ -153,17 +153,17 @@
     state = machine.snapshot()
     taken_ms = (time.perf_counter() - started_s) * _MS_PER_S
     text = machine.state.accepted.text
-    yield told('recovery', f'snapshot_{size}', len(state), 'bytes')
-    yield told('recovery', f'snapshot_{size}_pause', taken_ms, 'ms')
+    yield unbounded('recovery', f'snapshot_{size}', len(state), 'bytes')
+    yield unbounded('recovery', f'snapshot_{size}_pause', taken_ms, 'ms')
     renewals = _command(1, RenewVm('vm-1', 1, _LEASE_S))
     texts = _command(1, ChangeText(0, text))
     for kind, command in (('renewals', renewals), ('texts', texts)):
-        log_bytes = len(command) * _CHANGES_A_DAY
+        log_bytes = len(command) * _CHANGES_PER_DAY
         count = max(
-            _CHANGES_A_DAY / _SNAPSHOT_ENTRIES,
+            _CHANGES_PER_DAY / _SNAPSHOT_ENTRIES,
             log_bytes / max(_SNAPSHOT_BYTES, len(state)),
         )
-        yield told(
+        yield unbounded(
             'recovery',
             f'snapshots_{size}_{kind}_a_day',
             len(state) * count,
--- a/bench/bench_rollout.py
+++ b/bench/bench_rollout.py
@@ -13,9 +13,9 @@
 
 from bench.cluster import Cluster, Process, Shape
 from bench.config_texts import Changer, members_of
-from bench.figures import Figure, at_most, told
+from bench.figures import Figure, at_most, unbounded
 from bench.relay import Relay
-from bench.subscribers import Crowd
+from bench.subscribers import SubscriberGroup
 
 _NAME = 'rollout'
 _FOLDER = pathlib.Path('run/rollout')
@@ -26,15 +26,15 @@
     targets_per_service=0,
 )
 _CHANGES = 20
-_CROWD = 100
+_SUBSCRIBERS = 100
 _PAUSE_S = 0.3
 _SETTLE_S = 2.0
 _CUT_S = 4.0
-_PROMISE_S = 7.0
+_ROLLOUT_LIMIT_S = 7.0
 _MS_PER_S = 1000
 _IN_FORCE = 206
 # Pushing must at least halve what polling once a second takes.
-_OF_POLLING = 0.5
+_MAX_POLLING_RATIO = 0.5
 
 
 def run() -> Iterable[Figure]:
@@ -60,8 +60,8 @@
 
 
 async def _quiet(cluster: Cluster, changer: Changer) -> Iterator[Figure]:
-    pushed = Crowd(members_of(cluster), _CROWD, 'pushed')
-    polling = Crowd(members_of(cluster), _CROWD, 'polling')
+    pushed = SubscriberGroup(members_of(cluster), _SUBSCRIBERS, 'pushed')
+    polling = SubscriberGroup(members_of(cluster), _SUBSCRIBERS, 'polling')
     pushed.start_following()
     polling.start_polling()
     await asyncio.sleep(_SETTLE_S)
@@ -100,16 +100,16 @@
                 f'{who}_{name}',
                 shown_ms,
                 'ms',
-                polled[name] * _OF_POLLING,
+                polled[name] * _MAX_POLLING_RATIO,
                 polled[name],
             )
     yield at_most(
         _NAME,
         'crowd_bytes',
-        rates[0] / _CROWD,
+        rates[0] / _SUBSCRIBERS,
         'bytes/s each',
-        rates[1] / _CROWD,
-        rates[1] / _CROWD,
+        rates[1] / _SUBSCRIBERS,
+        rates[1] / _SUBSCRIBERS,
     )
 
 
@@ -133,15 +133,15 @@
     healed_at_s = {changer.version: time.time()}
     while not all(_holds(entry, changer.version) for entry in cut_off):
         await asyncio.sleep(_PAUSE_S)
-        assert time.time() - sent_s < 2 * _PROMISE_S, 'not healed in time'
+        assert time.time() - sent_s < 2 * _ROLLOUT_LIMIT_S, 'not healed in time'
     healed_s = max(_entry_delays_s(cut_off, healed_at_s))
     return iter(
         (
-            told(_NAME, 'cut_others_max', connected_s * _MS_PER_S, 'ms'),
+            unbounded(_NAME, 'cut_others_max', connected_s * _MS_PER_S, 'ms'),
             at_most(
                 _NAME,
                 'healed_share_of_promise',
-                healed_s / _PROMISE_S,
+                healed_s / _ROLLOUT_LIMIT_S,
                 'ratio',
                 1,
             ),
--- a/bench/bench_skew.py
+++ b/bench/bench_skew.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Iterator
 
-from bench.figures import Figure, at_least, at_most, told
+from bench.figures import Figure, at_least, at_most, unbounded
 from bench.slot_fleet import SERVICE_S, SLOTS, Fleet, Policy, Tally, TargetModel
 from bench.slot_policies import LocalView, Routers, TwoChoices
 
@@ -19,17 +19,17 @@
 _WORK_BOUND_S = _DEADLINE_S + 0.5
 _CAPACITY_PER_S = _TARGETS * SLOTS / SERVICE_S
 _OVERLOAD = 1.2
-_USUAL = 0.75
+_NORMAL_LOAD = 0.75
 # One of the four slots of the idle entry's share is its reserve: 7 of 8.
 _OVERLOAD_BOUND = 0.85
-_USUAL_BOUND = 0.95
+_NORMAL_LOAD_BOUND = 0.95
 
 
 def run() -> Iterator[Figure]:
     """Measure and yield the figures; the baseline is fixed shares."""
     for load, name, bound in (
         (_OVERLOAD, 'overloaded', _OVERLOAD_BOUND),
-        (_USUAL, 'usual', _USUAL_BOUND),
+        (_NORMAL_LOAD, 'usual', _NORMAL_LOAD_BOUND),
     ):
         yield at_least(
             _NAME,
@@ -47,7 +47,7 @@
     yield at_most(
         _NAME,
         'most_running_lent_slots',
-        _drive(_routers(is_lending=True), _OVERLOAD, (0, 1)).most_running,
+        _drive(_routers(is_lending=True), _OVERLOAD, (0, 1)).max_running,
         'requests',
         SLOTS,
     )
@@ -57,10 +57,10 @@
     }
     for name, policy in simpler.items():
         tally = _drive(policy, _OVERLOAD, (0, 1))
-        yield told(
+        yield unbounded(
             _NAME,
             f'most_running_{name}',
-            tally.most_running,
+            tally.max_running,
             'requests',
         )
 
--- a/bench/bench_urgent.py
+++ b/bench/bench_urgent.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable, Iterator
 from unittest import mock
 
-from bench.figures import Figure, at_most, told
+from bench.figures import Figure, at_most, unbounded
 from wigeonreach.fleet._placement import Placement
 from wigeonreach._room import Room
 from wigeonreach.fleet._placement_model import (
@@ -64,7 +64,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Run:
+class _Simulation:
     """Five minutes of a full pool under one policy."""
 
     placement: Placement
@@ -83,7 +83,7 @@
         self.planned += 1
         heapq.heappush(self.due, (at_s, self.planned, event))
 
-    def go(self) -> None:
+    def run(self) -> None:
         """Take all events in order of time."""
         while self.due and self.due[0][0] < _RUN_S:
             now_s, _, event = heapq.heappop(self.due)
@@ -165,7 +165,7 @@
     merged = {policy.name: _merge(policy) for policy in _POLICIES}
     none = merged['none']
     for name, each in merged.items():
-        figure = told if name in {'none', 'held'} else _bounded
+        figure = unbounded if name in {'none', 'held'} else _bounded
         yield figure(
             _BENCH,
             f'late_ratio_{name}',
@@ -173,14 +173,14 @@
             'ratio',
             baseline=none.late_ratio(),
         )
-        yield told(
+        yield unbounded(
             _BENCH,
             f'start_delay_p99_{name}',
             each.percentile_s(0.99),
             's',
             none.percentile_s(0.99),
         )
-        yield told(
+        yield unbounded(
             _BENCH,
             f'work_served_{name}',
             each.served / none.served,
@@ -200,7 +200,7 @@
     return at_most(bench, figure, measured, unit, 0.01, baseline)
 
 
-def _merge(policy: _Policy) -> _Run:
+def _merge(policy: _Policy) -> _Simulation:
     """Return the first run with what the others measured added."""
     first, *others = (_simulate(policy, seed) for seed in _SEEDS)
     for other in others:
@@ -215,10 +215,10 @@
     return first
 
 
-def _simulate(policy: _Policy, seed: int) -> _Run:
+def _simulate(policy: _Policy, seed: int) -> _Simulation:
     rng = random.Random(seed)
     placement = _placement(_WORKERS, policy.held_ratio)
-    simulated = _Run(placement, rng)
+    simulated = _Simulation(placement, rng)
     for at_s, job in _arrivals(random.Random(seed)):
         simulated.jobs[job.job_id] = job
         if job.is_urgent:
@@ -226,7 +226,7 @@
         simulated.plan(at_s, JobSubmitted(job))
     simulated.plan(1, Tick())
     with _room_making(makes_room=policy.makes_room):
-        simulated.go()
+        simulated.run()
     return simulated
 
 
@@ -277,7 +277,7 @@
 def _slopes() -> Iterable[Figure]:
     cost_us = {size: _cost_us(size) for size in _SIZES}
     for size, cost in cost_us.items():
-        yield told(_BENCH, f'placement_cost_{size}', cost, 'us')
+        yield unbounded(_BENCH, f'placement_cost_{size}', cost, 'us')
     smallest, largest = _SIZES[0], _SIZES[-1]
     growth = cost_us[largest] / cost_us[smallest]
     scan_growth = _scan_us(largest) / _scan_us(smallest)
--- a/bench/bench_wave.py
+++ b/bench/bench_wave.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from bench.figures import Figure, at_most, told
+from bench.figures import Figure, at_most, unbounded
 from bench.fleet_driver import Policy
 from bench.fleet_large import large_run, sizes
 from bench.fleet_layout import USERS
@@ -28,7 +28,7 @@
                 'plain-wave',
                 Policy(fixed_step_vms=step),
             )
-            yield told(
+            yield unbounded(
                 _BENCH,
                 f'{user.name}: wave, against steps of {step} with'
                 f' {len(fixed.report.violations)} violations',
--- a/bench/capacity_manager.py
+++ b/bench/capacity_manager.py
@@ -8,7 +8,7 @@
 import time
 from collections.abc import Iterator
 
-from bench.figures import Figure, told
+from bench.figures import Figure, unbounded
 from bench.managed_cluster import ManagedCluster
 from bench.usage import read_usage
 
@@ -41,13 +41,13 @@
         later.since(earlier).processor_s
         for later, earlier in zip(after, before, strict=True)
     ]
-    yield told(
+    yield unbounded(
         _NAME,
         'manager_memory_bytes',
         statistics.median(usage.memory_bytes for usage in after),
         'bytes',
     )
-    yield told(
+    yield unbounded(
         _NAME,
         'manager_idle_core_share',
         statistics.median(spent_s) / _IDLE_S / _POLLS_PER_USUAL,
--- a/bench/capacity_state.py
+++ b/bench/capacity_state.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from bench.config_texts import build_text
-from bench.figures import Figure, at_most, told
+from bench.figures import Figure, at_most, unbounded
 from wigeonreach.fleet import Phase, Track, WaveState, WaveStatus
 from wigeonreach.manager import WaveBody, encode_body
 from wigeonreach.state._machine import Machine
@@ -22,7 +22,7 @@
 _VMS = 22_000
 _POOLS = 40
 # The log must take at most this part of a whole text for a small change.
-_LEAST_SAVING = 100
+_MIN_SAVING = 100
 _REPEATS = 5
 _LEASE_S = 30.0
 _US_PER_S = 1_000_000
@@ -36,18 +36,18 @@
     _grant_all(machine)
     used_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    yield told(_NAME, 'vm_record_bytes', used_bytes / _VMS, 'bytes/VM')
+    yield unbounded(_NAME, 'vm_record_bytes', used_bytes / _VMS, 'bytes/VM')
     yield _logged_figure()
-    yield told(_NAME, 'wave_record_bytes', _wave_bytes(), 'bytes/VM')
-    yield told(_NAME, 'command_apply_us', _apply_us(), 'us/command')
+    yield unbounded(_NAME, 'wave_record_bytes', _wave_bytes(), 'bytes/VM')
+    yield unbounded(_NAME, 'command_apply_us', _apply_us(), 'us/command')
     snapshots_ms = [_snapshot_ms(machine) for _ in range(_REPEATS)]
-    yield told(
+    yield unbounded(
         _NAME,
         'snapshot_encode_ms',
         statistics.median(snapshots_ms),
         'ms at 22000 VMs',
     )
-    yield told(
+    yield unbounded(
         _NAME,
         'snapshot_bytes',
         len(machine.snapshot()),
@@ -65,7 +65,7 @@
         'logged_change_bytes',
         len(msgspec.msgpack.encode(edits)),
         'bytes/change',
-        whole_bytes / _LEAST_SAVING,
+        whole_bytes / _MIN_SAVING,
         whole_bytes,
     )
 
--- a/bench/check.py
+++ b/bench/check.py
@@ -1,4 +1,4 @@
-"""Compare what callers saw with what targets ran."""
+"""Check the responses that callers got against the runs of targets."""
 
 from __future__ import annotations
 
@@ -35,16 +35,16 @@
     runs: Sequence[RunLine],
     slots: int = _SLOTS,
 ) -> Verdict:
-    """Find every promise that was broken.
+    """Find all violations of the service guarantees.
 
     Parameters
     ----------
     calls
-        What callers saw.
+        Requests and their responses.
     runs
-        What targets wrote down.
+        Run log of the targets.
     slots
-        How many runs a target may have at once.
+        Maximum number of concurrent runs of a target.
 
     Returns
     -------
--- a/bench/cluster.py
+++ b/bench/cluster.py
@@ -1,4 +1,4 @@
-"""Start the processes of a small fleet on loopback and end them by id."""
+"""Start the processes of a small fleet on loopback and stop them by PID."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 from wigeonreach.wire import Member, parse_address
 
 _HOST = '127.0.0.1'
-# Below the ports that the kernel gives to outgoing connections: one of those
-# may take an address between its choice here and the start of its process.
+# Below the ephemeral port range of the kernel: an outgoing connection could
+# otherwise take a port between its choice here and the start of its process.
 _PORTS = range(10_000, 32_000)
-# Each is used once: a process that is laid out listens only later.
+# Each port is used once, since a process starts to listen only later.
 _UNUSED_PORTS = iter(random.sample(_PORTS, len(_PORTS)))
 _POLL_S = 0.05
 _READY_TIMEOUT_S = 20.0
@@ -44,7 +44,7 @@
 
     @property
     def member(self) -> Member:
-        """The process as settings of others name it."""
+        """The process as a member in the settings of other processes."""
         return Member(
             self.name,
             self.zone,
@@ -53,12 +53,12 @@
 
     @property
     def pid(self) -> int:
-        """Its process id, once it was started."""
+        """The process ID; the process must have been started."""
         assert self.popen is not None
         return self.popen.pid
 
     def start(self) -> None:
-        """Start it, also again after it ended."""
+        """Start or restart the process."""
         self.popen = subprocess.Popen(  # noqa: S603
             self.command,
             stdout=self.log,
@@ -66,12 +66,12 @@
         )
 
     def send(self, number: signal.Signals) -> None:
-        """Send it a signal."""
+        """Send a signal if the process is running."""
         if self.popen is not None and self.popen.poll() is None:
             self.popen.send_signal(number)
 
     def wait(self, timeout_s: float = _READY_TIMEOUT_S) -> int:
-        """Wait until it ended; return its exit status."""
+        """Wait until the process exits; return its exit status."""
         assert self.popen is not None
         return self.popen.wait(timeout_s)
 
@@ -82,7 +82,7 @@
             return probe.connect_ex((host, int(port))) == 0
 
     def is_ready(self) -> bool:
-        """Whether it answers that it is ready."""
+        """Whether its readiness endpoint answers with status 200."""
         try:
             with urllib_request.urlopen(  # noqa: S310
                 f'http://{self.http}/readyz',
@@ -95,7 +95,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Shape:
-    """How large a fleet is."""
+    """Size and options of a fleet."""
 
     zones: tuple[str, ...]
     entries_per_zone: int
@@ -112,7 +112,7 @@
     Parameters
     ----------
     shape
-        How large it is.
+        Size and options of the fleet.
     folder
         Where logs, data folders and the run log go.
     relay
@@ -125,7 +125,7 @@
         folder: pathlib.Path,
         relay: Relay | None = None,
     ) -> None:
-        """Lay out every process; none is started yet."""
+        """Prepare every process without starting it."""
         self._relay = relay
         folder.mkdir(parents=True, exist_ok=True)
         self.shape = shape
@@ -152,7 +152,7 @@
             _wait_for(replica.is_listening, replica.name)
 
     def stop(self) -> None:
-        """Kill whatever still runs, by process id."""
+        """Kill all processes that are still running."""
         for process in self.processes():
             process.send(signal.SIGCONT)
             process.send(signal.SIGKILL)
--- a/bench/figures.py
+++ b/bench/figures.py
@@ -7,7 +7,7 @@
 
 
 class Figure(msgspec.Struct, frozen=True):
-    """One figure beside the same figure of a simpler policy."""
+    """One measured figure, with its bound and the baseline's value."""
 
     bench: str
     figure: str
@@ -30,8 +30,8 @@
     bound: float,
     baseline: float | None = None,
 ) -> Figure:
-    """Return a figure that must not pass its bound."""
-    free = told(bench, figure, measured, unit, baseline)
+    """Return a figure that must not exceed its bound."""
+    free = unbounded(bench, figure, measured, unit, baseline)
     return structs.replace(free, bound=bound, held=measured <= bound)
 
 
@@ -44,11 +44,11 @@
     baseline: float | None = None,
 ) -> Figure:
     """Return a figure that must reach its bound."""
-    free = told(bench, figure, measured, unit, baseline)
+    free = unbounded(bench, figure, measured, unit, baseline)
     return structs.replace(free, bound=bound, held=measured >= bound)
 
 
-def told(
+def unbounded(
     bench: str,
     figure: str,
     measured: float,
--- a/bench/fleet_check.py
+++ b/bench/fleet_check.py
@@ -1,4 +1,4 @@
-"""Check a fleet's run by its trace alone, with counts of its own."""
+"""Check a simulated run from its trace, independent of the planners."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Line:
-    """A VM enters a state."""
+class TraceLine:
+    """A state change of a VM."""
 
     at_s: float
     vm: str
@@ -32,7 +32,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Pool:
-    """What the check knows of one pool at one moment."""
+    """Slots and missing capacity of one pool, as counted by the check."""
 
     up_slots: int = 0
     own_slots: int = 0
@@ -43,14 +43,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Report:
-    """What the check found.
+    """The result of the check.
 
     Attributes
     ----------
     violations
-        Broken by own actions, or broken rules of moves and waves.
+        Budgets violated by own actions, and violated rules of moves and
+        waves.
     missing_s
-        For how long each pool missed its promise, for any reason.
+        Time that each pool was below its promise for any reason, in seconds.
     missing_slot_s
         Promised slots that were missing, times seconds, over all pools.
     """
@@ -62,11 +63,11 @@
 
 def check_trace(
     text: FleetText,
-    first: Iterable[Line],
-    trace: Iterable[Line],
+    first: Iterable[TraceLine],
+    trace: Iterable[TraceLine],
     end_s: float,
 ) -> Report:
-    """Walk over a trace and report what was broken.
+    """Replay a trace and report violations.
 
     Parameters
     ----------
@@ -83,19 +84,19 @@
     pools: dict[str, Pool] = collections.defaultdict(Pool)
     violations = list(_double_operations(trace))
     for line in vms.values():
-        _count(pools[line.pool], line, 1)
+        _add_slots(pools[line.pool], line, 1)
     now_s = 0.0
     for line in trace:
         _pass_time(text, pools, line.at_s - now_s)
         now_s = line.at_s
         before = vms[line.vm]
-        violations.extend(_broken_rules(text, before, line))
-        _count(pools[before.pool], before, -1)
-        _count(pools[line.pool], line, 1)
+        violations.extend(_rule_violations(text, before, line))
+        _add_slots(pools[before.pool], before, -1)
+        _add_slots(pools[line.pool], line, 1)
         vms[line.vm] = line
-        violations.extend(_broken_depth(text, pools, now_s))
+        violations.extend(_depth_violations(text, pools, now_s))
     _pass_time(text, pools, end_s - now_s)
-    violations.extend(_broken_time(text, pools))
+    violations.extend(_duration_violations(text, pools))
     return Report(
         violations,
         {name: pool.missing_s for name, pool in pools.items()},
@@ -103,7 +104,7 @@
     )
 
 
-def _count(pool: Pool, line: Line, sign: int) -> None:
+def _add_slots(pool: Pool, line: TraceLine, sign: int) -> None:
     if line.cause is Cause.UP:
         pool.up_slots += sign * line.slots
     elif line.cause is Cause.OWN:
@@ -117,7 +118,7 @@
 ) -> None:
     for name, pool in pools.items():
         missing = _promised(text, name) - pool.up_slots
-        # Work that can wait waits, but not because of own actions.
+        # Deferrable work may wait, but not because of own actions.
         waiting = 0 if pool.own_slots else _deferrable(text, name)
         if missing <= waiting:
             continue
@@ -143,7 +144,7 @@
     )
 
 
-def _broken_depth(
+def _depth_violations(
     text: FleetText,
     pools: Mapping[str, Pool],
     now_s: float,
@@ -154,7 +155,7 @@
         pool = pools[service.pool]
         ratio = 1 - service.budget.missing_ratio
         least = _promised(text, service.pool) * ratio
-        # Failures beyond those guarded may break it, own actions may not.
+        # Failures may exceed the budget, but own actions may not.
         if pool.up_slots < least <= pool.up_slots + pool.own_slots:
             yield (
                 f'{now_s:.0f} s: {service.name} has {pool.up_slots} of'
@@ -162,7 +163,7 @@
             )
 
 
-def _broken_time(
+def _duration_violations(
     text: FleetText,
     pools: Mapping[str, Pool],
 ) -> Iterator[str]:
@@ -175,10 +176,10 @@
             )
 
 
-def _broken_rules(
+def _rule_violations(
     text: FleetText,
-    before: Line,
-    after: Line,
+    before: TraceLine,
+    after: TraceLine,
 ) -> Iterator[str]:
     is_up_in_both = before.cause is Cause.UP and after.cause is Cause.UP
     if before.pool != after.pool and is_up_in_both:
@@ -192,7 +193,7 @@
         yield f'{after.at_s:.0f} s: {after.vm} is watched and was touched'
 
 
-def _double_operations(trace: Iterable[Line]) -> Iterator[str]:
+def _double_operations(trace: Iterable[TraceLine]) -> Iterator[str]:
     begun = collections.Counter(
         (line.vm, line.operation) for line in trace if line.operation
     )
--- a/bench/fleet_driver.py
+++ b/bench/fleet_driver.py
@@ -1,7 +1,7 @@
-"""Feed lists of events to the planners and note what happens to VMs.
+"""Feed event lists to the planners and trace the state of VMs.
 
-No cluster is simulated: drains, reboots and moves take seeded times, and the
-trace holds what the platform did, not what the planners believe.
+No cluster is simulated: drains and reboots take seeded times, moves a fixed
+one, and the trace holds what the platform did, not what the planners believe.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from types import MappingProxyType
 
 from bench.fleet_baselines import FixedSteps
-from bench.fleet_check import Cause, Line
+from bench.fleet_check import Cause, TraceLine
 from bench.fleet_events import Event, Kind
 from bench.fleet_layout import User
 
@@ -47,7 +47,7 @@
 
 _TICK_S = 30.0
 _MOVE_S = 60.0
-_LENGTHS_S = MappingProxyType(
+_DURATION_RANGES_S = MappingProxyType(
     {
         EffectKind.DRAIN: (30.0, 300.0),
         EffectKind.REBOOT: (120.0, 300.0),
@@ -55,20 +55,20 @@
     }
 )
 _USAGE_LAG_S = 90.0
-_REASON_LOST = frozenset((Kind.VM_LOST, Kind.RACK_LOST, Kind.ZONE_LOST))
-_REASON_BACK = frozenset((Kind.VM_BACK, Kind.RACK_BACK, Kind.ZONE_BACK))
+_LOSS_KINDS = frozenset((Kind.VM_LOST, Kind.RACK_LOST, Kind.ZONE_LOST))
+_RECOVERY_KINDS = frozenset((Kind.VM_BACK, Kind.RACK_BACK, Kind.ZONE_BACK))
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Policy:
-    """What plans.
+    """The planners to use.
 
     Attributes
     ----------
     moves
         Damping of moves.
     fixed_step_vms
-        VMs of a fixed step; None for the planner of waves.
+        Size of a fixed step; None for the wave planner.
     """
 
     moves: MoveSettings = MoveSettings()
@@ -77,10 +77,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Run:
-    """What came of one run."""
+    """The result of one run."""
 
-    first: tuple[Line, ...]
-    trace: tuple[Line, ...]
+    first: tuple[TraceLine, ...]
+    trace: tuple[TraceLine, ...]
     moves: tuple[MoveRecord, ...]
     maintained: int
     last_maintained_s: float
@@ -88,14 +88,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, order=True)
-class _Due:
+class _ScheduledAction:
     at_s: float
     number: int
     action: Callable[[], None] = dataclasses.field(compare=False)
 
 
 class Driver:
-    """One fleet under one policy and one list of events."""
+    """Simulates one fleet under one policy and one event list."""
 
     def __init__(
         self,
@@ -104,16 +104,16 @@
         policy: Policy,
         seed: int = 1,
     ) -> None:
-        """Set the fleet up."""
+        """Create the planners and the inventory of the fleet."""
         self._vms = {vm.name: vm for vm in vms}
         self._names = sorted(self._vms)
         self._user = user
         self._pools = tuple(user.promised_slots)
         self._rng = random.Random(seed)
-        self._queue: list[_Due] = []
+        self._queue: list[_ScheduledAction] = []
         self._numbers = itertools.count()
         self._now_s = 0.0
-        self._trace: list[Line] = []
+        self._trace: list[TraceLine] = []
         self._moves: list[MoveRecord] = []
         self._failed: set[str] = set()
         self._attempts: dict[str, tuple[str, EffectKind]] = {}
@@ -136,11 +136,13 @@
         )
 
     def run(self, events: Sequence[Event], end_s: float) -> Run:
-        """Run until an end, in seconds."""
+        """Run until ``end_s``, in seconds."""
         first = tuple(_line(vm, 0, Cause.UP) for vm in self._vms.values())
         for event in events:
-            self._at(event.at_s, functools.partial(self._happen, event))
-        self._at(0, functools.partial(self._tick, end_s))
+            self._schedule_at(
+                event.at_s, functools.partial(self._apply_event, event)
+            )
+        self._schedule_at(0, functools.partial(self._tick, end_s))
         while self._queue:
             due = heapq.heappop(self._queue)
             if due.at_s > end_s:
@@ -163,32 +165,34 @@
             pools.setdefault(vm.pool, []).append(vm.name)
         return pools
 
-    def _at(self, at_s: float, action: Callable[[], None]) -> None:
-        due = _Due(at_s, next(self._numbers), action)
+    def _schedule_at(self, at_s: float, action: Callable[[], None]) -> None:
+        due = _ScheduledAction(at_s, next(self._numbers), action)
         heapq.heappush(self._queue, due)
 
-    def _after(self, wait_s: float, action: Callable[[], None]) -> None:
-        self._at(self._now_s + wait_s, action)
+    def _schedule_after(
+        self, wait_s: float, action: Callable[[], None]
+    ) -> None:
+        self._schedule_at(self._now_s + wait_s, action)
 
     def _tick(self, end_s: float) -> None:
         self._wave(Tick())
         self._move(Tick())
         if self._now_s < end_s:
-            self._after(_TICK_S, functools.partial(self._tick, end_s))
+            self._schedule_after(_TICK_S, functools.partial(self._tick, end_s))
 
-    def _happen(self, event: Event) -> None:
+    def _apply_event(self, event: Event) -> None:
         changes = {
-            **dict.fromkeys(_REASON_LOST, self._lose),
-            **dict.fromkeys(_REASON_BACK, self._come_back),
+            **dict.fromkeys(_LOSS_KINDS, self._fail_vm),
+            **dict.fromkeys(_RECOVERY_KINDS, self._recover_vm),
         }
         change = changes.get(event.kind)
         if change is None:
-            self._command(event)
+            self._apply_command(event)
             return
-        for name in self._subjects(event):
+        for name in self._affected_vms(event):
             change(name)
 
-    def _command(self, event: Event) -> None:
+    def _apply_command(self, event: Event) -> None:
         pool = self._pools[event.subject % len(self._pools)]
         if event.kind is Kind.PROMISE:
             more_slots = {pool: int(event.amount)}
@@ -197,11 +201,13 @@
             self._move(Tick())
         elif event.kind is Kind.USAGE:
             report = UsageReport(pool, event.amount, event.at_s)
-            self._after(_USAGE_LAG_S, functools.partial(self._move, report))
+            self._schedule_after(
+                _USAGE_LAG_S, functools.partial(self._move, report)
+            )
         else:
-            self._steer(event)
+            self._control_wave(event)
 
-    def _steer(self, event: Event) -> None:
+    def _control_wave(self, event: Event) -> None:
         if event.kind is Kind.START:
             self._wave(StartWave('start', 'wave', tuple(self._names)))
         elif event.kind is Kind.STOP:
@@ -209,7 +215,7 @@
         elif event.kind is Kind.BAD_IMAGE:
             self._is_image_bad = True
 
-    def _subjects(self, event: Event) -> list[str]:
+    def _affected_vms(self, event: Event) -> list[str]:
         if event.kind in {Kind.VM_LOST, Kind.VM_BACK}:
             return [self._names[event.subject % len(self._names)]]
         if event.kind in {Kind.ZONE_LOST, Kind.ZONE_BACK}:
@@ -221,28 +227,28 @@
             vm.name for vm in self._vms.values() if (vm.zone, vm.rack) == rack
         ]
 
-    def _lose(self, name: str) -> None:
+    def _fail_vm(self, name: str) -> None:
         if name in self._failed:
             return
         self._failed.add(name)
         self._attempts.pop(name, None)
-        self._note(name, Cause.FAILED)
-        self._set_if_fixed(name, VmState.DOWN)
+        self._trace_state(name, Cause.FAILED)
+        self._set_inventory_state(name, VmState.DOWN)
         self._wave(VmReport(name, VmEvent.LOST))
         self._move(VmChanged(name, is_lost=True))
 
-    def _come_back(self, name: str) -> None:
+    def _recover_vm(self, name: str) -> None:
         if name not in self._failed:
             return
         self._failed.remove(name)
-        self._note(name, Cause.UP)
-        self._set_if_fixed(name, VmState.SERVING)
+        self._trace_state(name, Cause.UP)
+        self._set_inventory_state(name, VmState.SERVING)
         self._wave(VmReport(name, VmEvent.REBOOTED))
         self._wave(VmBack(name))
         self._move(VmChanged(name))
 
-    def _set_if_fixed(self, name: str, state: VmState) -> None:
-        """Keep the inventory for a policy that does not."""
+    def _set_inventory_state(self, name: str, state: VmState) -> None:
+        """Update the inventory if the policy does not do so itself."""
         vm = self._inventory.find(name)
         if self._is_fixed and vm is not None:
             self._inventory.put(dataclasses.replace(vm, state=state))
@@ -250,49 +256,51 @@
 
     def _wave(self, message: Message) -> None:
         for effect in self._waves.handle(message, self._now_s):
-            self._do(effect)
+            self._execute(effect)
         for pool, zone in self._waves.take_wanting().items():
             self._move(WantSpare(pool, zone))
 
     def _move(self, message: MoveMessage) -> None:
         for record in self._mover.handle(message, self._now_s):
             self._moves.append(record)
-            self._note(record.vm, Cause.OWN)
-            done = functools.partial(self._moved, record)
-            self._after(_MOVE_S, done)
+            self._trace_state(record.vm, Cause.OWN)
+            done = functools.partial(self._finish_move, record)
+            self._schedule_after(_MOVE_S, done)
 
-    def _moved(self, record: MoveRecord) -> None:
+    def _finish_move(self, record: MoveRecord) -> None:
         if record.vm in self._failed:
             return
         vm = self._vms[record.vm]
         self._vms[vm.name] = dataclasses.replace(vm, pool=record.to_pool)
-        self._note(vm.name, Cause.UP)
+        self._trace_state(vm.name, Cause.UP)
         self._move(MoveEnded(vm.name, is_done=True))
 
-    def _do(self, effect: WaveEffect) -> None:
-        """Do what is asked for, each operation once."""
+    def _execute(self, effect: WaveEffect) -> None:
+        """Execute an effect of the planner, each operation once."""
         name = effect.vm
         asked = (effect.operation_id, effect.kind)
         if name in self._failed or self._attempts.get(name) == asked:
             return
         self._attempts[name] = asked
-        if effect.kind in _LENGTHS_S:
-            self._begin(effect)
+        if effect.kind in _DURATION_RANGES_S:
+            self._start_operation(effect)
             return
-        self._note(name, Cause.UP)
-        self._set_if_fixed(name, VmState.SERVING)
+        self._trace_state(name, Cause.UP)
+        self._set_inventory_state(name, VmState.SERVING)
         if effect.kind is EffectKind.RESTORE:
             self._maintained[name] = self._now_s
 
-    def _begin(self, effect: WaveEffect) -> None:
+    def _start_operation(self, effect: WaveEffect) -> None:
         is_reboot = effect.kind is EffectKind.REBOOT
         operation = effect.operation_id if is_reboot else ''
-        self._note(effect.vm, Cause.OWN, operation)
-        self._set_if_fixed(effect.vm, VmState.DRAINING)
-        length_s = self._rng.uniform(*_LENGTHS_S[effect.kind])
-        self._after(length_s, functools.partial(self._report, effect))
+        self._trace_state(effect.vm, Cause.OWN, operation)
+        self._set_inventory_state(effect.vm, VmState.DRAINING)
+        length_s = self._rng.uniform(*_DURATION_RANGES_S[effect.kind])
+        self._schedule_after(
+            length_s, functools.partial(self._finish_operation, effect)
+        )
 
-    def _report(self, effect: WaveEffect) -> None:
+    def _finish_operation(self, effect: WaveEffect) -> None:
         name = effect.vm
         if self._attempts.get(name) != (effect.operation_id, effect.kind):
             return
@@ -304,15 +312,17 @@
             event = VmEvent.HEALTHY
             if self._is_image_bad:
                 event = VmEvent.UNHEALTHY
-                self._note(name, Cause.FAILED)
-                self._set_if_fixed(name, VmState.DOWN)
+                self._trace_state(name, Cause.FAILED)
+                self._set_inventory_state(name, VmState.DOWN)
         self._wave(VmReport(name, event, effect.operation_id))
 
-    def _note(self, name: str, cause: Cause, operation: str = '') -> None:
+    def _trace_state(
+        self, name: str, cause: Cause, operation: str = ''
+    ) -> None:
         self._trace.append(
             _line(self._vms[name], self._now_s, cause, operation)
         )
 
 
-def _line(vm: Vm, at_s: float, cause: Cause, operation: str = '') -> Line:
-    return Line(at_s, vm.name, vm.pool, vm.slots, cause, operation)
+def _line(vm: Vm, at_s: float, cause: Cause, operation: str = '') -> TraceLine:
+    return TraceLine(at_s, vm.name, vm.pool, vm.slots, cause, operation)
--- a/bench/fleet_zones.py
+++ b/bench/fleet_zones.py
@@ -1,8 +1,8 @@
-"""Take a wave through zones that plan for themselves while one is cut off.
+"""Simulate a wave over zones that plan independently while one is cut off.
 
 Each zone has a planner and its own view of the fleet.  Changes reach the
 views of connected zones at once, and those of a zone that was cut off when it
-is healed.  Parts of the budgets are handed out to connected zones only.
+is reconnected.  Parts of the budgets are assigned to connected zones only.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from collections.abc import Callable, Iterable, Mapping
 from types import MappingProxyType
 
-from bench.fleet_check import Cause, Line
+from bench.fleet_check import Cause, TraceLine
 from bench.fleet_layout import User
 from wigeonreach.fleet import (
     Budgets,
@@ -41,7 +41,7 @@
 from wigeonreach.fleet._waves_model import Message
 
 _TICK_S = 30.0
-_LENGTHS_S = MappingProxyType(
+_DURATION_RANGES_S = MappingProxyType(
     {
         EffectKind.DRAIN: (30.0, 300.0),
         EffectKind.REBOOT: (120.0, 300.0),
@@ -72,19 +72,19 @@
             gates=(self.gate,) if has_parts else (),
         )
 
-    def learn(self, vm: Vm, now_s: float) -> None:
-        """Take over what another zone did."""
+    def apply_change(self, vm: Vm, now_s: float) -> None:
+        """Apply a change made by another zone."""
         self.view.put(vm)
         self.budgets.observe(vm.pool, now_s)
 
     def waiting(self) -> int:
-        """Return how many of the zone's VMs wait."""
+        """Return the number of the zone's VMs that are not yet final."""
         tracks = self.planner.waves['wave'].tracks.values()
         return sum(1 for track in tracks if not track.phase.is_final)
 
 
 @dataclasses.dataclass(frozen=True, slots=True, order=True)
-class _Due:
+class _ScheduledAction:
     at_s: float
     number: int
     action: Callable[[], None] = dataclasses.field(compare=False)
@@ -96,14 +96,15 @@
     Parameters
     ----------
     user
-        Whose fleet it is.
+        User that owns the fleet.
     vms
-        The VMs.
+        The VMs of the fleet.
     has_parts
-        Whether zones keep to parts; without them each only asks its view.
+        Whether zones are limited to parts of the budgets; without parts each
+        zone checks its own view only.
     counts_lost
-        Whether the others take the VMs of a zone that is cut off for lost;
-        without that they go on as if it did nothing.
+        Whether the other zones consider the VMs of a cut-off zone lost;
+        otherwise they assume that their state is unchanged.
     """
 
     def __init__(
@@ -117,7 +118,7 @@
         """Start all zones connected."""
         self._counts_lost = counts_lost
         zones = sorted({vm.zone for vm in vms})
-        self.trace: list[Line] = []
+        self.trace: list[TraceLine] = []
         self.operations: list[str] = []
         self._has_parts = has_parts
         self._user = user
@@ -128,58 +129,60 @@
         self._vms = {vm.name: vm for vm in vms}
         self._parts: dict[str, Mapping[str, ZonePart]] = {}
         self._cut = ''
-        self._queue: list[_Due] = []
+        self._queue: list[_ScheduledAction] = []
         self._numbers = itertools.count()
         self._now_s = 0.0
         self._rng = random.Random(1)
 
     def run(self, cut_zone: str, cut_s: float, healed_s: float) -> None:
-        """Run for eight hours with one zone cut off from one time on."""
+        """Run for eight hours; a zone is cut off from ``cut_s`` on."""
         for zone, manager in self._managers.items():
             names = tuple(
                 sorted(vm.name for vm in self._vms.values() if vm.zone == zone)
             )
             start = StartWave('start', 'wave', names)
-            self._at(0, functools.partial(self._handle, manager, start))
-        self._at(1, self._tick)
-        self._at(cut_s, functools.partial(self._cut_off, cut_zone))
-        self._at(healed_s, self._heal)
+            self._schedule_at(
+                0, functools.partial(self._handle, manager, start)
+            )
+        self._schedule_at(1, self._tick)
+        self._schedule_at(cut_s, functools.partial(self._cut_off, cut_zone))
+        self._schedule_at(healed_s, self._heal)
         while self._queue and self._now_s < 8 * 3600:
             due = heapq.heappop(self._queue)
             self._now_s = due.at_s
             due.action()
 
-    def _at(self, at_s: float, action: Callable[[], None]) -> None:
-        due = _Due(at_s, next(self._numbers), action)
+    def _schedule_at(self, at_s: float, action: Callable[[], None]) -> None:
+        due = _ScheduledAction(at_s, next(self._numbers), action)
         heapq.heappush(self._queue, due)
 
     def _tick(self) -> None:
         if self._has_parts:
-            self._share()
+            self._share_budgets()
         for manager in self._managers.values():
             self._handle(manager, Tick())
-        self._at(self._now_s + _TICK_S, self._tick)
+        self._schedule_at(self._now_s + _TICK_S, self._tick)
 
     def _cut_off(self, zone: str) -> None:
         """Cut a zone off from all others."""
         self._cut = zone
         for manager in self._managers.values():
             if self._counts_lost and manager.zone != zone:
-                self._take_for_lost(manager, zone)
+                self._mark_lost(manager, zone)
 
-    def _take_for_lost(self, manager: Manager, zone: str) -> None:
+    def _mark_lost(self, manager: Manager, zone: str) -> None:
         lost = [vm for vm in manager.view if vm.zone == zone]
         for vm in lost:
             down = dataclasses.replace(vm, state=VmState.DOWN)
-            manager.learn(down, self._now_s)
+            manager.apply_change(down, self._now_s)
 
     def _heal(self) -> None:
-        """Let each zone say what its VMs do now."""
+        """Reconnect all zones and broadcast the state of their VMs."""
         self._cut = ''
         for manager in self._managers.values():
-            self._tell(manager)
+            self._broadcast(manager)
 
-    def _share(self) -> None:
+    def _share_budgets(self) -> None:
         reachable = [
             manager
             for manager in self._managers.values()
@@ -197,7 +200,8 @@
             for one in reachable:
                 part = parts.get(one.zone, ZonePart(one.zone))
                 one.gate.part_slots[need.pool] = part.offered_slots
-                # A zone acknowledges less once it holds no more down.
+                # A zone acknowledges a smaller part only once it has no more
+                # slots under maintenance than that.
                 held = one.view.maintained_slots(need.pool, one.zone)
                 if held <= part.offered_slots:
                     parts = acknowledge(parts, one.zone, part.version)
@@ -205,33 +209,33 @@
 
     def _handle(self, manager: Manager, message: Message) -> None:
         for effect in manager.planner.handle(message, self._now_s):
-            self._do(manager, effect)
+            self._execute(manager, effect)
         if manager.zone != self._cut:
-            self._tell(manager)
+            self._broadcast(manager)
 
-    def _tell(self, manager: Manager) -> None:
+    def _broadcast(self, manager: Manager) -> None:
         mine = [vm for vm in manager.view if vm.zone == manager.zone]
         for other in self._managers.values():
             if other.zone in {self._cut, manager.zone}:
                 continue
             for vm in mine:
                 if other.view.find(vm.name) != vm:
-                    other.learn(vm, self._now_s)
+                    other.apply_change(vm, self._now_s)
 
-    def _do(self, manager: Manager, effect: WaveEffect) -> None:
+    def _execute(self, manager: Manager, effect: WaveEffect) -> None:
         key = f'{effect.operation_id}/{effect.kind}'
         if key in self.operations:
             return
         self.operations.append(key)
-        if effect.kind not in _LENGTHS_S:
-            self._note(effect.vm, Cause.UP)
+        if effect.kind not in _DURATION_RANGES_S:
+            self._trace_state(effect.vm, Cause.UP)
             return
-        self._note(effect.vm, Cause.OWN)
-        length_s = self._rng.uniform(*_LENGTHS_S[effect.kind])
-        answer = functools.partial(self._answer, manager, effect)
-        self._at(self._now_s + length_s, answer)
+        self._trace_state(effect.vm, Cause.OWN)
+        length_s = self._rng.uniform(*_DURATION_RANGES_S[effect.kind])
+        answer = functools.partial(self._finish_operation, manager, effect)
+        self._schedule_at(self._now_s + length_s, answer)
 
-    def _answer(self, manager: Manager, effect: WaveEffect) -> None:
+    def _finish_operation(self, manager: Manager, effect: WaveEffect) -> None:
         name = effect.vm
         message: Message = DrainProgress(name, 0, 0)
         if effect.kind is EffectKind.REBOOT:
@@ -240,16 +244,18 @@
             message = VmReport(name, VmEvent.HEALTHY, effect.operation_id)
         self._handle(manager, message)
 
-    def _note(self, name: str, cause: Cause) -> None:
+    def _trace_state(self, name: str, cause: Cause) -> None:
         vm = self._vms[name]
-        line = Line(self._now_s, name, vm.pool, vm.slots, cause)
+        line = TraceLine(self._now_s, name, vm.pool, vm.slots, cause)
         self.trace.append(line)
 
 
-def unguarded(user: User, vms: list[Vm], trace: list[Line]) -> list[str]:
-    """Return when the loss of a zone would have broken a budget.
+def guard_violations(
+    user: User, vms: list[Vm], trace: list[TraceLine]
+) -> list[str]:
+    """Return when the loss of a zone would have violated a budget.
 
-    Counts by itself from the trace, over all zones together.
+    Computed from the trace alone, over all zones together.
     """
     down: set[str] = set()
     found: list[str] = []
--- a/bench/kept_alive.py
+++ b/bench/kept_alive.py
@@ -1,4 +1,4 @@
-"""Call one entry on kept-alive connections, as fast as it answers."""
+"""Drive closed-loop load on kept-alive connections to one entry."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 
 
 class KeptAliveCallers:
-    """Callers that heed neither readiness nor refusals.
+    """Callers that ignore readiness and refusals.
 
-    Each sends its next request as soon as the last one is answered, so that
-    some request is always under way to the entry when a connection ends.
+    Each sends its next request right after a response, so that some request
+    is always in flight when the entry closes a connection.
 
     Parameters
     ----------
     entry
-        Whom to call.
+        Entry to call.
     service
-        What to ask for.
+        Service to call.
     """
 
     def __init__(self, entry: Process, service: str) -> None:
--- a/bench/keyed_check.py
+++ b/bench/keyed_check.py
@@ -1,4 +1,4 @@
-"""Compare what callers with keys saw with what targets ran."""
+"""Check the responses to requests with idempotency keys against runs."""
 
 from __future__ import annotations
 
@@ -13,36 +13,38 @@
     calls: Sequence[KeyedCall],
     runs: Sequence[RunLine],
 ) -> list[str]:
-    """Find every promise that was broken to callers who sent copies.
+    """Find all violations of the guarantees for resent requests.
 
     Parameters
     ----------
     calls
-        What callers sent and saw.
+        Requests with all their responses.
     runs
-        What targets wrote down.
+        Run log of the targets.
 
     Returns
     -------
     list of str
-        One sentence for each broken promise.
+        One description for each violation.
     """
-    started = _works(runs, RunKind.START)
-    ended = _works(runs, RunKind.END)
+    started = _count_by_work(runs, RunKind.START)
+    ended = _count_by_work(runs, RunKind.END)
     violations: list[str] = []
     for call in calls:
         times = started[call.work]
         if times > 1:
             violations.append(f'{call.work}: ran {times} times')
         for reply in call.replies:
-            violations.extend(_broken(call.work, reply, started, ended))
+            violations.extend(
+                _reply_violations(call.work, reply, started, ended)
+            )
         bodies = {one.body for one in call.replies if _has_answer(one)}
         if len(bodies) > 1:
             violations.append(f'{call.work}: got the answers {bodies}')
     return violations
 
 
-def _works(
+def _count_by_work(
     runs: Sequence[RunLine],
     kind: RunKind,
 ) -> collections.Counter[str]:
@@ -53,7 +55,7 @@
     return reply.outcome == 'ran' and reply.code == '0'
 
 
-def _broken(
+def _reply_violations(
     work: str,
     reply: Reply,
     started: collections.Counter[str],
--- a/bench/keyed_load.py
+++ b/bench/keyed_load.py
@@ -1,4 +1,4 @@
-"""Drive callers that send again what was lost, with keys or blindly."""
+"""Drive callers that resend lost requests, with or without keys."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 from bench.cluster import Process
 
-_ASK_TIMEOUT_S = 1.5
-_PAUSE_S = 0.2
-_MOST_TRIES = 12
-_TWICE_RATIO = 0.3
+_REQUEST_TIMEOUT_S = 1.5
+_RETRY_PAUSE_S = 0.2
+_MAX_TRIES = 12
+_DUPLICATE_RATIO = 0.3
 _LOST_ERRORS = (aiohttp.ClientError, OSError, TimeoutError)
 _FINAL_OUTCOMES = frozenset(('ran', 'not-run'))
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reply:
-    """One answer to one copy of a request; empty if none came."""
+    """The response to one copy of a request; empty if none arrived."""
 
     entry: str
     outcome: str = ''
@@ -33,7 +33,7 @@
 
 @dataclasses.dataclass(slots=True)
 class KeyedCall:
-    """One piece of work, and all that its caller saw."""
+    """One work item and all responses that its caller got."""
 
     work: str
     sent_s: float
@@ -54,20 +54,20 @@
 
 
 class KeyedLoad:
-    """Callers that choose entries without knowing which of them live.
+    """Callers that choose entries at random, whether or not they are up.
 
     Parameters
     ----------
     entries
-        Every copy of a request goes through any of them.
+        Entries to choose from, for each copy of a request.
     service
-        What is asked for.
+        Service to call.
     rate_per_s
-        Pieces of work a second.
+        Work items per second.
     seed
         Seed of every random choice.
     has_keys
-        Whether callers use keys; if not, they resend blindly.
+        Whether callers use idempotency keys; if not, they resend without.
     """
 
     def __init__(
@@ -105,7 +105,7 @@
         start_s = time.monotonic()
         async with aiohttp.ClientSession(
             connector=connector,
-            timeout=aiohttp.ClientTimeout(total=_ASK_TIMEOUT_S),
+            timeout=aiohttp.ClientTimeout(total=_REQUEST_TIMEOUT_S),
         ) as session:
             async with asyncio.TaskGroup() as group:
                 for number in range(int(self._rate_per_s * length_s)):
@@ -122,14 +122,14 @@
             if not call.key:
                 return
         copies = 1
-        if self._has_keys and self._rng.random() < _TWICE_RATIO:
+        if self._has_keys and self._rng.random() < _DUPLICATE_RATIO:
             copies = 2
         await asyncio.gather(
-            *(self._send_until_known(session, call) for _ in range(copies)),
+            *(self._send_until_final(session, call) for _ in range(copies)),
         )
 
     async def _get_key(self, session: aiohttp.ClientSession) -> str:
-        for _ in range(_MOST_TRIES):
+        for _ in range(_MAX_TRIES):
             entry = self._rng.choice(self._entries)
             try:
                 async with session.post(
@@ -140,15 +140,15 @@
                 continue
             if answer.status == 201:
                 return msgspec.json.decode(body, type=_KeyBody).key
-            await asyncio.sleep(_PAUSE_S)
+            await asyncio.sleep(_RETRY_PAUSE_S)
         return ''
 
-    async def _send_until_known(
+    async def _send_until_final(
         self,
         session: aiohttp.ClientSession,
         call: KeyedCall,
     ) -> None:
-        for _ in range(_MOST_TRIES):
+        for _ in range(_MAX_TRIES):
             entry = self._rng.choice(self._entries)
             try:
                 reply = await self._send(session, entry, call)
@@ -157,7 +157,7 @@
             call.replies.append(reply)
             if reply.outcome in _FINAL_OUTCOMES:
                 return
-            await asyncio.sleep(_PAUSE_S)
+            await asyncio.sleep(_RETRY_PAUSE_S)
 
     async def _send(
         self,
--- a/bench/leaving.py
+++ b/bench/leaving.py
@@ -1,4 +1,4 @@
-"""Let targets leave a small zone under load while parts of it fail."""
+"""Run a small zone under load while targets leave and processes fail."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 _TEXT = 'examples/fleet.toml'
 _RATE_PER_S = 120.0
 _SETTLE_S = 1.5
-#: Announcements and leases are long, so that leases alone tell nothing in
-#: time: at 2,000 targets a zone they are longer still.
+#: Announcements and leases are so long that lease expiry alone detects
+#: nothing in time; with 2,000 targets per zone they are even longer.
 ANNOUNCE_S = 3.0
 LEASE_S = 12.0
 LONG_LEASES = (
@@ -28,7 +28,7 @@
     '--lease-s',
     str(LEASE_S),
 )
-#: The simpler policy: a record is trusted until its lease ends.
+#: Baseline policy: a record is trusted until its lease expires.
 LEASES_ALONE = ('--contact-limit-s', '3600')
 ZONE = Shape(
     zones=('a',),
@@ -40,16 +40,18 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Stage:
+class ZoneUnderTest:
     """A running zone and the relay that all its links go through."""
 
     cluster: Cluster
     relay: Relay
 
-    def let_tell_only(self, target: Process, told: Process) -> None:
+    def cut_off_except(self, target: Process, notified: Process) -> None:
         """Cut a target off from every entry but one."""
         others = {
-            entry.name for entry in self.cluster.entries if entry is not told
+            entry.name
+            for entry in self.cluster.entries
+            if entry is not notified
         }
         self.relay.cut(
             lambda link: link.source == target.name and link.target in others,
@@ -68,14 +70,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Played:
-    """What callers saw and what targets ran."""
+class LoadResult:
+    """The calls that callers made and the runs that targets logged."""
 
     calls: list[Call]
     runs: list[RunLine]
 
     def last_new_work_s(self, target_id: str) -> float:
-        """Return when a target got its last new work, from its leaving on.
+        """Return how long after leaving a target still got new work.
 
         Returns
         -------
@@ -100,7 +102,7 @@
         return max(0.0, *late_s)
 
     def work_of(self, target_id: str) -> list[RunLine]:
-        """Return each run that a target began."""
+        """Return each run that a target started."""
         return [
             run
             for run in self.runs
@@ -108,30 +110,30 @@
         ]
 
 
-Disturb = Callable[[Stage], Awaitable[None]]
+FaultScript = Callable[[ZoneUnderTest], Awaitable[None]]
 
 
-def play(
+def run_under_load(
     folder: pathlib.Path,
-    disturb: Disturb,
+    disturb: FaultScript,
     length_s: float,
     shape: Shape = ZONE,
     rate_per_s: float = _RATE_PER_S,
-) -> Played:
-    """Run a zone under load and disturb it.
+) -> LoadResult:
+    """Run a zone under load while injecting faults.
 
     Parameters
     ----------
     folder
         Where logs go; it is emptied first.
     disturb
-        Coroutine that makes things fail once load runs.
+        Coroutine that injects faults while load is driven.
     length_s
         How long load is driven, in seconds.
     shape
-        How large the zone is.
+        Size and options of the zone.
     rate_per_s
-        Requests a second, over all entries alike.
+        Requests per second, spread evenly over all entries.
     """
     shutil.rmtree(folder, ignore_errors=True)
     relay = Relay()
@@ -141,12 +143,14 @@
         _apply(cluster)
         cluster.wait_until_ready()
         calls = asyncio.run(
-            _drive(Stage(cluster, relay), disturb, length_s, rate_per_s),
+            _drive(
+                ZoneUnderTest(cluster, relay), disturb, length_s, rate_per_s
+            ),
         )
     finally:
         cluster.stop()
         relay.close()
-    return Played(calls, read_run_log(cluster.run_log))
+    return LoadResult(calls, read_run_log(cluster.run_log))
 
 
 def leave(targets: Sequence[Process]) -> None:
@@ -162,8 +166,8 @@
 
 
 async def _drive(
-    stage: Stage,
-    disturb: Disturb,
+    stage: ZoneUnderTest,
+    disturb: FaultScript,
     length_s: float,
     rate_per_s: float,
 ) -> list[Call]:
--- a/bench/load.py
+++ b/bench/load.py
@@ -1,4 +1,4 @@
-"""Drive open-loop load through the entries, as a balancer would."""
+"""Drive open-loop load through the entries, as a load balancer would."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Call:
-    """What one caller asked for and saw."""
+    """One request and the response that its caller got."""
 
     work: str
     service: str
@@ -38,7 +38,7 @@
 
 
 class Load:
-    """Send requests at a fixed rate, whether or not answers come.
+    """Send requests at a fixed rate, independent of responses.
 
     Parameters
     ----------
@@ -114,9 +114,9 @@
             entry = self._pick(tried)
             tried.add(entry.name)
             try:
-                call = await self._ask(session, entry, service, work, due_s)
+                call = await self._request(session, entry, service, work, due_s)
             except aiohttp.ClientConnectorError:
-                # Nothing was sent, so that a balancer may try another entry.
+                # Nothing was sent, so a load balancer may try another entry.
                 if len(tried) < len(self._entries):
                     continue
                 call = _lost(work, service, entry, due_s, 'not-run')
@@ -130,7 +130,7 @@
         fresh = [one for one in self._entries if one.name not in tried]
         return self._rng.choice(ready or fresh)
 
-    async def _ask(
+    async def _request(
         self,
         session: aiohttp.ClientSession,
         entry: Process,
--- a/bench/managed_cluster.py
+++ b/bench/managed_cluster.py
@@ -1,4 +1,4 @@
-"""Start managers and a platform beside the replicas of a small fleet."""
+"""Run a small fleet with managers and a stand-in for the platform."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
         platform_options: tuple[str, ...] = (),
         relay: Relay | None = None,
     ) -> None:
-        """Lay out every process; none is started yet."""
+        """Prepare every process without starting it."""
         super().__init__(_SHAPE, folder, relay)
         self.action_log = folder / 'actions.jsonl'
         self.platform = self._process('platform', ZONES[0])
@@ -82,13 +82,13 @@
         )
 
     def actions(self) -> list[ActionLine]:
-        """Return what the platform did so far."""
+        """Return the platform's action log so far."""
         if not self.action_log.exists():
             return []
         return read_action_log(self.action_log)
 
     def count(self, what: str) -> int:
-        """Return how often the platform did something."""
+        """Return how often the platform performed one kind of action."""
         return sum(line.what == what for line in self.actions())
 
     def wave(self, wave_id: str) -> dict[str, object]:
@@ -134,7 +134,7 @@
 def wait_until(
     is_done: Callable[[], bool], what: str, timeout_s: float
 ) -> None:
-    """Wait for something, but no longer than the timeout."""
+    """Poll a condition until it holds; raise TimeoutError after a timeout."""
     ends_s = time.monotonic() + timeout_s
     while not is_done():
         if time.monotonic() > ends_s:
--- a/bench/open_loop.py
+++ b/bench/open_loop.py
@@ -1,4 +1,4 @@
-"""Send requests at a fixed rate and tell which were answered in time."""
+"""Send requests at a fixed rate and measure which are answered in time."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import aiohttp
 from hdrh.histogram import HdrHistogram
 
-_HIGHEST_US = 120_000_000
+_MAX_TRACKED_US = 120_000_000
 _DIGITS = 3
 _US_PER_S = 1_000_000
 _MS_PER_S = 1000
@@ -33,7 +33,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Sample:
-    """What became of one request; times count from when it was due."""
+    """The result of one request; times are measured from when it was due."""
 
     work: str
     team: str
@@ -63,14 +63,14 @@
 
 def percentile_of_s(times_s: Iterable[float], percentile: float) -> float:
     """Return a percentile of times, in seconds."""
-    histogram = HdrHistogram(1, _HIGHEST_US, _DIGITS)
+    histogram = HdrHistogram(1, _MAX_TRACKED_US, _DIGITS)
     for taken_s in times_s:
         histogram.record_value(max(1, int(taken_s * _US_PER_S)))
     return float(histogram.get_value_at_percentile(percentile) / _US_PER_S)
 
 
 async def drive(streams: Sequence[Stream], length_s: float) -> list[Sample]:
-    """Send all streams side by side, whether or not answers come.
+    """Send all streams concurrently, independent of responses.
 
     Parameters
     ----------
@@ -124,12 +124,12 @@
         if stream.team:
             headers['X-Team'] = stream.team
         try:
-            sample = await self._ask(number, work, headers, due_s)
+            sample = await self._request(number, work, headers, due_s)
         except (aiohttp.ClientError, OSError, TimeoutError):
             sample = self._sample(work, due_s, 0, {})
         self._samples.append(sample)
 
-    async def _ask(
+    async def _request(
         self,
         number: int,
         work: str,
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -11,7 +11,7 @@
 
 _HOST = '127.0.0.1'
 _CHUNK_BYTES = 64 * 1024
-_HELD_POLL_S = 0.02
+_CUT_POLL_S = 0.02
 _Reply = TypeVar('_Reply')
 
 
@@ -30,23 +30,25 @@
     backward_cut: bool = False
     delay_s: float = 0
     passed_bytes: int = 0
-    open_ends: list[_End] = dataclasses.field(default_factory=list)
+    open_connections: list[_Connection] = dataclasses.field(
+        default_factory=list
+    )
 
 
 @dataclasses.dataclass(slots=True)
-class _End:
-    """One connection of a link, by both its writers."""
+class _Connection:
+    """One relayed connection: its writers to the source and the target."""
 
     writers: tuple[asyncio.StreamWriter, asyncio.StreamWriter]
     is_silent: bool = False
 
 
-# Tells the source of a connection by its first bytes.
+# Returns the name of the source of a connection, given its first bytes.
 SourceOf = Callable[[bytes], str]
 
 
 class Relay:
-    """All relayed links of a fleet, served by a thread of the sending side."""
+    """All relayed links of a fleet, served by a thread of this process."""
 
     def __init__(self) -> None:
         """Start the thread."""
@@ -78,14 +80,14 @@
         return self._call(self._listen(link))
 
     def share(self, target: str, address: str, source_of: SourceOf) -> str:
-        """Listen for all sources of a target, told by their first bytes.
+        """Listen for all sources of a target, identified by their first bytes.
 
         Parameters
         ----------
         target, address
             Name of the process and where it really listens.
         source_of
-            Returns the name of who sent the first bytes of a connection.
+            Returns the name of the source, given the first bytes it sent.
 
         Returns
         -------
@@ -95,7 +97,7 @@
         return self._call(self._listen_shared(target, address, source_of))
 
     def link(self, source: str, target: str, address: str) -> Link:
-        """Return the link between two processes, made if there is none."""
+        """Return the link between two processes, created if missing."""
         for known in self._links:
             if (known.source, known.target) == (source, target):
                 known.address = address
@@ -109,9 +111,9 @@
         self._loop.call_soon_threadsafe(self._reset, list(self._links), chosen)
 
     def silence(self, chosen: Callable[[Link], bool]) -> None:
-        """Let nothing pass open connections any more; new ones work."""
+        """Block all open connections of the chosen links, but no new ones."""
         for link in filter(chosen, self._links):
-            for end in link.open_ends:
+            for end in link.open_connections:
                 end.is_silent = True
 
     def cut(self, chosen: Callable[[Link], bool]) -> None:
@@ -148,7 +150,7 @@
             link.delay_s = delay_s
 
     def heal(self) -> None:
-        """Let everything pass again; held bytes arrive late."""
+        """Remove all cuts and delays; bytes held back are then delivered."""
         for link in self._links:
             link.forward_cut = False
             link.backward_cut = False
@@ -182,7 +184,7 @@
             reader: asyncio.StreamReader,
             writer: asyncio.StreamWriter,
         ) -> None:
-            # The relay may be closed before anything came.
+            # The relay may be closed before any byte arrives.
             with contextlib.suppress(asyncio.CancelledError, OSError):
                 first = await reader.read(_CHUNK_BYTES)
                 link = self.link(source_of(first), target, address)
@@ -196,7 +198,7 @@
         chosen: Callable[[Link], bool],
     ) -> None:
         for link in filter(chosen, links):
-            for end in link.open_ends:
+            for end in link.open_connections:
                 for writer in end.writers:
                     writer.transport.abort()
 
@@ -216,17 +218,17 @@
         except OSError:
             writer.close()
             return
-        end = _End((writer, far_writer))
-        link.open_ends.append(end)
-        way = _Way(link, end, lambda: link.forward_cut)
-        way_back = _Way(link, end, lambda: link.backward_cut)
+        end = _Connection((writer, far_writer))
+        link.open_connections.append(end)
+        way = _Direction(link, end, lambda: link.forward_cut)
+        way_back = _Direction(link, end, lambda: link.backward_cut)
         # The relay may be closed while connections are open.
         with contextlib.suppress(asyncio.CancelledError):
             await asyncio.gather(
                 _pump(reader, far_writer, way, first),
                 _pump(far_reader, writer, way_back, b''),
             )
-        link.open_ends.remove(end)
+        link.open_connections.remove(end)
 
 
 async def _listen_at(
@@ -248,31 +250,31 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Way:
+class _Direction:
     """One direction of one connection."""
 
     link: Link
-    end: _End
+    end: _Connection
     is_cut: Callable[[], bool]
 
-    async def held(self) -> None:
-        """Wait as long as nothing passes."""
+    async def wait_until_open(self) -> None:
+        """Apply the delay, then wait while the direction is blocked."""
         if self.link.delay_s:
             await asyncio.sleep(self.link.delay_s)
         while self.end.is_silent or self.is_cut():
-            await asyncio.sleep(_HELD_POLL_S)
+            await asyncio.sleep(_CUT_POLL_S)
 
 
 async def _pump(
     reader: asyncio.StreamReader,
     writer: asyncio.StreamWriter,
-    way: _Way,
+    way: _Direction,
     first: bytes,
 ) -> None:
     with contextlib.suppress(OSError):
         chunk = first or await reader.read(_CHUNK_BYTES)
         while True:
-            await way.held()
+            await way.wait_until_open()
             if not chunk:
                 break
             writer.write(chunk)
--- a/bench/slot_fleet.py
+++ b/bench/slot_fleet.py
@@ -1,8 +1,8 @@
-"""Drive routing policies on a clock of events, exactly and repeatably.
+"""Simulate routing policies with discrete events, deterministically.
 
 The routers are the real ones; targets, callers and the delay between entries
-are plain models.  Nothing runs in real time, so that figures don't depend on
-how busy the machine is.
+are simple models.  Nothing runs in real time, so figures don't depend on the
+load of the machine.
 """
 
 from __future__ import annotations
@@ -29,18 +29,18 @@
 _TICK_S = 0.05
 _RETRY_RATIO = 0.1
 _FAIL_FAST_S = 0.001
-# Runs longer than this are rare enough that given-up requests, whose slots stay
-# occupied, do not blur the figures.
-_NEEDED_S = 8 * SERVICE_S
+# Runs longer than this are rare enough that abandoned requests, whose slots
+# stay occupied, do not distort the figures.
+_MIN_TIME_LEFT_S = 8 * SERVICE_S
 _Event: TypeAlias = tuple[float, int, Callable[[], None]]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Hold:
-    """One attempt's place at a target, and the policy's own mark of it."""
+    """The slot of one attempt at a target, with data of the policy."""
 
     target: int
-    mark: object = None
+    policy_data: object = None
 
 
 class Policy(Protocol):
@@ -56,14 +56,14 @@
         ending: Ending,
         now_s: float,
     ) -> None:
-        """Learn how an attempt ended."""
+        """Release the slot of an attempt that ended."""
 
     def tick(self, clock: Clock) -> None:
-        """Do what is due from time to time."""
+        """Run periodic work."""
 
 
 class Clock:
-    """Moments and what happens at each of them."""
+    """A simulated clock with a queue of scheduled actions."""
 
     def __init__(self) -> None:
         """Start at 0."""
@@ -72,12 +72,12 @@
         self._due: list[_Event] = []
 
     def after(self, delay_s: float, action: Callable[[], None]) -> None:
-        """Let something happen later."""
+        """Schedule an action after a delay, in seconds."""
         event = (self.now_s + delay_s, next(self._numbers), action)
         heapq.heappush(self._due, event)
 
     def run(self, length_s: float) -> None:
-        """Let everything happen until an end."""
+        """Run all actions that are due until ``length_s``, in seconds."""
         while self._due and self._due[0][0] <= length_s:
             due_s, _, action = heapq.heappop(self._due)
             self.now_s = due_s
@@ -86,7 +86,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TargetModel:
-    """How a target behaves."""
+    """Mean service time of a target and whether its requests fail."""
 
     service_s: float = SERVICE_S
     fails: bool = False
@@ -103,12 +103,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Tally:
-    """What came of all requests."""
+    """Counts of requests and attempts."""
 
     sent: int = 0
     answered: int = 0
     attempts: int = 0
-    most_running: int = 0
+    max_running: int = 0
 
     @property
     def attempts_per_request(self) -> float:
@@ -165,7 +165,7 @@
         entries: Sequence[int],
         length_s: float,
     ) -> Tally:
-        """Send requests at random moments and return what came of them.
+        """Send requests at random times and return their counts.
 
         Parameters
         ----------
@@ -205,16 +205,16 @@
     def _dispatch(self, entry: int) -> None:
         waiting = self._waiting[entry]
         while waiting:
-            # As the entries do, refuse what would not finish in time.
-            if waiting[0].due_s - self._clock.now_s < _NEEDED_S:
+            # Like the entries, refuse requests that would not end in time.
+            if waiting[0].due_s - self._clock.now_s < _MIN_TIME_LEFT_S:
                 waiting.popleft()
                 continue
             hold = self._policy.acquire(entry, self._clock.now_s)
             if hold is None:
                 return
-            self._begin(waiting.popleft(), hold)
+            self._start_attempt(waiting.popleft(), hold)
 
-    def _begin(self, request: Request, hold: Hold) -> None:
+    def _start_attempt(self, request: Request, hold: Hold) -> None:
         request.attempts += 1
         self.tally.attempts += 1
         model = self._targets[hold.target]
@@ -227,20 +227,22 @@
         if runs_s > left_s:
             ending = Ending.GIVEN_UP
         self._running[hold.target] += 1
-        self.tally.most_running = max(
-            self.tally.most_running,
+        self.tally.max_running = max(
+            self.tally.max_running,
             self._running[hold.target],
         )
         self._clock.after(runs_s, lambda: self._leave_target(hold))
         self._clock.after(
             min(runs_s, left_s),
-            lambda: self._end(request, hold, ending),
+            lambda: self._finish_attempt(request, hold, ending),
         )
 
     def _leave_target(self, hold: Hold) -> None:
         self._running[hold.target] -= 1
 
-    def _end(self, request: Request, hold: Hold, ending: Ending) -> None:
+    def _finish_attempt(
+        self, request: Request, hold: Hold, ending: Ending
+    ) -> None:
         now_s = self._clock.now_s
         self._policy.release(request.entry, hold, ending, now_s)
         if ending is Ending.ANSWERED:
--- a/bench/slot_policies.py
+++ b/bench/slot_policies.py
@@ -1,4 +1,4 @@
-"""Ways to share targets among entries, the system's own and simpler ones."""
+"""Policies to share targets among entries, with simpler ones as baselines."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 
 
 class Routers:
-    """The system's routers; without exchange they keep to fixed shares.
+    """The real routers; without lending they keep to fixed shares.
 
     Parameters
     ----------
     entries
-        How many entries share the targets.
+        Number of entries that share the targets.
     targets
-        How many targets there are.
+        Number of targets.
     work_bound_s
         The longest run, in seconds.
     is_lending
@@ -48,7 +48,7 @@
         *,
         is_lending: bool = True,
     ) -> None:
-        """Start with every entry up for long."""
+        """Start as if every entry had been up for a long time."""
         self._is_lending = is_lending
         names = [str(number) for number in range(entries)]
         self._routers = {
@@ -70,11 +70,11 @@
         now_s: float,
     ) -> None:
         """Give the slot back."""
-        assert isinstance(hold.mark, Slot)
-        self._routers[str(entry)].release(hold.mark, ending, now_s)
+        assert isinstance(hold.policy_data, Slot)
+        self._routers[str(entry)].release(hold.policy_data, ending, now_s)
 
     def tick(self, clock: Clock) -> None:
-        """Carry loans between the entries."""
+        """Deliver messages about loans between the entries."""
         if not self._is_lending:
             return
         for router in self._routers.values():
@@ -128,9 +128,10 @@
 
 
 class TwoChoices:
-    """Of two random targets the one that reported less load.
+    """Power of two choices: of two random targets, the less loaded one.
 
-    Targets report every half a second; an entry adds what it sent since.
+    Targets report their load every 0.5 s; an entry adds its own requests
+    sent since the last report.
     """
 
     def __init__(self, targets: int) -> None:
@@ -176,7 +177,7 @@
 
 
 class RandomTargets:
-    """Any target with a slot of the entry's fixed share, by chance."""
+    """A random target that has a free slot of the entry's fixed share."""
 
     def __init__(self, entries: int, targets: int) -> None:
         """Start with nothing in flight."""
--- a/bench/state_stream.py
+++ b/bench/state_stream.py
@@ -1,4 +1,4 @@
-"""Send a stream of changes to the replicas and remember what was told."""
+"""Send a stream of changes to the replicas and record acknowledgements."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 
 class ChangeStream:
-    """Writers that each ask for one change after another, in a thread.
+    """Writers that each submit one change after another, in a thread.
 
     Parameters
     ----------
     replicas
-        Whom to ask; each writer begins with another one.
+        Replicas to write to; each writer starts with a different one.
     writers
-        How many writers there are.
+        Number of writers.
     pause_s
         How long a writer waits between two changes, in seconds.
     """
@@ -36,7 +36,7 @@
         writers: int = 4,
         pause_s: float = 0.01,
     ) -> None:
-        """Lay the writers out; none is started yet."""
+        """Create the writers without starting them."""
         self._members = members_of(replicas)
         self._writers = writers
         self._pause_s = pause_s
@@ -50,7 +50,7 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """Wait until each writer has got its last answer."""
+        """Stop the writers after their pending changes."""
         self._is_stopping = True
         self._thread.join()
 
@@ -101,12 +101,12 @@
 
 
 async def read_stored(members: Sequence[Member]) -> set[str]:
-    """Return what the replicas hold, confirmed by a quorum."""
+    """Return the names of the stored changes, confirmed by a quorum."""
     client = StateClient('reader', members, give_up_s=_GIVE_UP_S)
     found = await client.read(ReadProcesses(), Processes)
     return {record.process for record in found.processes}
 
 
 def members_of(replicas: Sequence[Process]) -> tuple[Member, ...]:
-    """Return how to reach some replicas."""
+    """Return the members of some replicas."""
     return tuple(replica.member for replica in replicas)
--- a/bench/subscribers.py
+++ b/bench/subscribers.py
@@ -1,4 +1,4 @@
-"""Stand in for many followers in one process: pushed to, or polling."""
+"""Simulate many configuration followers, by push or by polling."""
 
 from __future__ import annotations
 
@@ -29,18 +29,18 @@
 
 
 class Subscriber:
-    """One stand-in: when it held each version, and what that cost in bytes.
+    """A simulated follower that records versions and transferred bytes.
 
     Parameters
     ----------
     name
         Name under which it follows.
     replica
-        Whom it follows.
+        Replica that it follows.
     """
 
     def __init__(self, name: str, replica: Member) -> None:
-        """Hold nothing."""
+        """Start without any version."""
         self.name = name
         self.held_at_s: dict[int, float] = {}
         self._replica = replica
@@ -54,7 +54,7 @@
         return self._channel.sent_bytes + self._channel.received_bytes
 
     async def follow(self) -> None:
-        """Take what is pushed until cancelled."""
+        """Receive pushed changes until cancelled."""
         channel = await connect(self._replica.address)
         self._channel = channel
         held = self._follower.held
@@ -66,7 +66,7 @@
                 await self._take_one(channel)
 
     async def poll(self, delay_s: float) -> None:
-        """Ask for the whole text once a second until cancelled."""
+        """Request the whole text once a second until cancelled."""
         await asyncio.sleep(delay_s)
         self._channel = await connect(self._replica.address)
         question = Ask(ReadAccepted(), is_local=True)
@@ -90,15 +90,15 @@
                 channel.post(effect.need)
 
 
-class Crowd:
-    """Many stand-ins, spread over the replicas.
+class SubscriberGroup:
+    """Many simulated followers, spread over the replicas.
 
     Parameters
     ----------
     replicas
-        Whom they follow.
+        Replicas to follow.
     count
-        How many they are.
+        Number of followers.
     kind
         Prefix of their names.
     """
@@ -109,7 +109,7 @@
         count: int,
         kind: str,
     ) -> None:
-        """Connect nobody yet."""
+        """Create the followers without connecting them."""
         self.subscribers = [
             Subscriber(f'{kind}-{number}', replicas[number % len(replicas)])
             for number in range(count)
@@ -117,13 +117,13 @@
         self._tasks: list[asyncio.Future[None]] = []
 
     def start_following(self) -> None:
-        """Have all of them follow."""
+        """Start to receive pushed changes with all followers."""
         self._tasks = [
             asyncio.ensure_future(one.follow()) for one in self.subscribers
         ]
 
     def start_polling(self) -> None:
-        """Have all of them poll, spread over the period."""
+        """Start to poll with all followers, spread over the period."""
         count = len(self.subscribers)
         self._tasks = [
             asyncio.ensure_future(one.poll(number * _POLL_S / count))
@@ -140,9 +140,9 @@
         return sum(one.passed_bytes() for one in self.subscribers)
 
     def delays_s(self, sent_at_s: dict[int, float]) -> list[float]:
-        """Return how long each version took to reach each stand-in.
+        """Return how long each version took to reach each follower.
 
-        A version that was overtaken counts as held with the next one.
+        A version that was skipped counts as reached with the next one.
         """
         return [
             delay_s
--- a/proofs/test_capacity.py
+++ b/proofs/test_capacity.py
@@ -16,7 +16,7 @@
 from bench.fleet_events import LISTS, Event, Kind
 from bench.fleet_layout import USERS, User
 from bench.fleet_runs import CHOSEN, run_list
-from bench.fleet_zones import ZonesRun, unguarded
+from bench.fleet_zones import ZonesRun, guard_violations
 from wigeonreach.fleet import BufferWay, Inventory, Vm, VmState
 
 _END_S = 6 * 3600.0
@@ -91,7 +91,7 @@
                     if operation.endswith('reboot')
                 ]
                 self.assertThat(
-                    unguarded(user, vms, zones.trace),
+                    guard_violations(user, vms, zones.trace),
                     Equals([]),
                 )
                 self.assertThat(len(reboots), Equals(len(vms)))
--- a/proofs/test_shutdown.py
+++ b/proofs/test_shutdown.py
@@ -21,7 +21,13 @@
 from bench.check import check
 from bench.cluster import Process, Shape
 from bench.kept_alive import KeptAliveCallers
-from bench.leaving import SERVICE, Disturb, Played, Stage, play
+from bench.leaving import (
+    SERVICE,
+    FaultScript,
+    LoadResult,
+    ZoneUnderTest,
+    run_under_load,
+)
 
 _SHAPE = Shape(
     zones=('a',),
@@ -41,24 +47,28 @@
 class TestShutdown(testtools.TestCase):
     """Each test stops entries while callers keep sending."""
 
-    def _run_fault(self, disturb: Disturb, length_s: float = _LOAD_S) -> Played:
+    def _run_fault(
+        self, disturb: FaultScript, length_s: float = _LOAD_S
+    ) -> LoadResult:
         folder = tempfile.TemporaryDirectory(prefix='shutdown-')
         self.addCleanup(folder.cleanup)
         self.folder = pathlib.Path(folder.name) / 'run'
-        return play(self.folder, disturb, length_s, _SHAPE, _RATE_PER_S)
+        return run_under_load(
+            self.folder, disturb, length_s, _SHAPE, _RATE_PER_S
+        )
 
-    def _check(self, played: Played) -> None:
+    def _check(self, result: LoadResult) -> None:
         self.assertThat(
-            check(played.calls, played.runs).violations,
+            check(result.calls, result.runs).violations,
             HasLength(0),
         )
-        self.assertThat(len(played.calls), GreaterThan(0))
+        self.assertThat(len(result.calls), GreaterThan(0))
 
     def test_callers_that_ignore_readiness(self) -> None:
         """No request on a kept-alive connection is lost."""
         outcomes: collections.Counter[str] = collections.Counter()
 
-        async def disturb(stage: Stage) -> None:
+        async def disturb(stage: ZoneUnderTest) -> None:
             stopped = stage.cluster.entries[0]
             callers = KeptAliveCallers(stopped, SERVICE)
             calling = asyncio.ensure_future(callers.run(_CALLERS))
@@ -75,23 +85,23 @@
     def test_two_at_once(self) -> None:
         """Two of three entries stop at once; the third takes over."""
 
-        async def disturb(stage: Stage) -> None:
+        async def disturb(stage: ZoneUnderTest) -> None:
             await asyncio.sleep(_WARMUP_S)
             first, second, _ = stage.cluster.entries
             await asyncio.gather(_stop(first), _stop(second))
 
-        played = self._run_fault(disturb)
-        self._check(played)
-        after = [call for call in played.calls if call.is_answered]
+        result = self._run_fault(disturb)
+        self._check(result)
+        after = [call for call in result.calls if call.is_answered]
         self.assertThat(
             len(after),
-            GreaterThan(len(played.calls) * 0.95),
+            GreaterThan(len(result.calls) * 0.95),
         )
 
     def test_frozen_and_killed(self) -> None:
         """One entry stops after it was suspended, while another is killed."""
 
-        async def disturb(stage: Stage) -> None:
+        async def disturb(stage: ZoneUnderTest) -> None:
             frozen, killed, _ = stage.cluster.entries
             await asyncio.sleep(_WARMUP_S)
             frozen.send(signal.SIGSTOP)
@@ -101,16 +111,16 @@
             frozen.send(signal.SIGCONT)
             await asyncio.to_thread(frozen.wait)
 
-        played = self._run_fault(disturb)
+        result = self._run_fault(disturb)
         # Only requests in flight in the killed entry may be lost.
-        lost = {call.entry for call in played.calls if call.outcome == 'lost'}
+        lost = {call.entry for call in result.calls if call.outcome == 'lost'}
         self.assertThat(lost - {'entry-a1'}, Equals(set()))
 
     def test_second_signal(self) -> None:
         """A second signal stops the entry at once and logs a numbered event."""
         took: list[float] = []
 
-        async def disturb(stage: Stage) -> None:
+        async def disturb(stage: ZoneUnderTest) -> None:
             stopped = stage.cluster.entries[0]
             await asyncio.sleep(_WARMUP_S)
             stopped.send(signal.SIGTERM)
