--- a/bench/bench_brownout.py
+++ b/bench/bench_brownout.py
@@ -1,6 +1,6 @@
-"""Measure attempts and goodput while a third of the targets fail or crawl.
+"""Measure attempts and goodput while a third of the targets fail or are slow.
 
-Runs the real routers and retry budgets on a clock of events
+Runs the real routers and retry budgets in a discrete-event simulation
 (``bench.slot_fleet``).
 """
 
--- a/bench/bench_budget.py
+++ b/bench/bench_budget.py
@@ -1,4 +1,4 @@
-"""Count budgets that own actions break, through failures and waves."""
+"""Count budget violations by own actions during failures and waves."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from wigeonreach.fleet import BufferWay
 
 _BENCH = 'budget'
-# Zones plan for themselves there, see `bench.fleet_zones`.
+# Zones plan independently in this event list, see `bench.fleet_zones`.
 _CUT = 'zone-cut'
 _CUT_ZONE = 'b'
 _CUT_S = 900.0
@@ -22,7 +22,7 @@
 
 
 def run() -> Iterable[Figure]:
-    """Yield what was broken in each list of each user."""
+    """Yield the violations in each event list of each user."""
     for user in USERS:
         yield from _cut(user)
         way = CHOSEN[user.name]
--- a/bench/bench_buffer.py
+++ b/bench/bench_buffer.py
@@ -1,4 +1,4 @@
-"""Measure how much capacity each way of holding spare keeps back."""
+"""Measure how much spare capacity each buffer strategy reserves."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def run() -> Iterable[Figure]:
-    """Yield the buffer of each user by each way."""
+    """Yield the buffer of each user under each strategy."""
     for user in USERS:
         alone = user.size(BufferWay.PER_POOL)
         for way in BufferWay:
--- a/bench/bench_capacity.py
+++ b/bench/bench_capacity.py
@@ -1,4 +1,4 @@
-"""Measure the slopes from which the capacity page is worked out."""
+"""Measure the unit costs from which the capacity page is calculated."""
 
 from __future__ import annotations
 
@@ -106,7 +106,7 @@
         Targets(_records(_RECORD_COUNT, sequence=2)),
     )
     started_s = time.process_time()
-    # As a channel does it: one message, checked once.
+    # Like a channel: decode one message and validate it once.
     relayed = msgspec.convert(msgpack.unpackb(newer), Targets)
     _merge_all(membership, relayed.records)
     return (time.process_time() - started_s) / _RECORD_COUNT * _US_PER_S
--- a/bench/bench_commit.py
+++ b/bench/bench_commit.py
@@ -1,4 +1,4 @@
-"""Measure changes a second and syncs per change of three replicas."""
+"""Measure changes per second and syncs per change of three replicas."""
 
 from __future__ import annotations
 
@@ -33,16 +33,16 @@
 
 
 class _UngroupedStorage(Storage):
-    """The simpler policy: one sync for each change."""
+    """Baseline policy: one sync for each change."""
 
     def write(self, writes: Sequence[Write]) -> None:
-        """Write one after the other."""
+        """Write the changes one after the other."""
         for write in writes:
             super().write([write])
 
 
 class _Counter:
-    """A state machine that only counts."""
+    """A state machine that counts applied commands."""
 
     def __init__(self) -> None:
         self.count = 0
@@ -134,7 +134,7 @@
         ),
     )
     rate_per_s = len(waits_s) / (time.monotonic() - started_s)
-    # A leader may commit before its own disk is done.
+    # A leader may commit before its own disk has synced.
     await asyncio.sleep(_DRAIN_S)
     return _Measured(
         rate_per_s,
--- a/bench/bench_control_bytes.py
+++ b/bench/bench_control_bytes.py
@@ -1,4 +1,4 @@
-"""Bytes and processor time that changes, restarts and idling cost."""
+"""Measure bytes and CPU time of changes, restarts and idle daemons."""
 
 from __future__ import annotations
 
@@ -208,7 +208,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Spent:
-    """What a step took: of an entry, of a replica that leads."""
+    """Bytes and CPU time that a step cost an entry and a replica.
+
+    Bytes and the entry's CPU time are means over the processes; the
+    replica's CPU time is the maximum, which is the leader's.
+    """
 
     length_s: float
     follow_bytes: float
--- a/bench/bench_deciding.py
+++ b/bench/bench_deciding.py
@@ -1,8 +1,9 @@
-"""Measure what a leader decides in one cycle, by the size of its fleet.
+"""Measure the cost of one scheduling cycle of a leader, by fleet size.
 
-Every worker sends four heartbeats a second, and jobs come at a rate that keeps
-a part of the fleet busy.  A cycle hears a tenth of the workers, records what
-ended, plans and answers.  Commits are left out: they are measured elsewhere.
+Every worker sends four heartbeats a second, and jobs arrive at a rate that
+keeps part of the fleet busy.  A cycle handles heartbeats of a tenth of the
+workers, records ended runs, plans and replies.  Commits are not included:
+they are measured elsewhere.
 """
 
 from __future__ import annotations
@@ -38,15 +39,15 @@
 
 _BENCH = 'deciding'
 _SIZES = (30, 180, 1000)
-# The deployments at hand have four pools that work.
+# Current deployments have four active pools.
 _POOLS = 4
 _STEPS = 40
 _STEP_S = 0.25
 _PARTS = 10
 _WORKERS_PER_JOB = 40
 _US_PER_S = 1_000_000
-# From 30 to 1,000 workers a heartbeat may cost this much more; before leases,
-# VMs and rooms were indexed it was 11 times as much.
+# Maximum growth of the cost of a heartbeat from 30 to 1,000 workers; before
+# leases, VMs and rooms were indexed, it was 11 times.
 _MAX_GROWTH = 2.0
 _TASK = StepSpec(6, cpu_millicores=2000, memory_mb=512, estimate_ms=600)
 _SECOND = msgspec.structs.replace(_TASK, after=(0,))
@@ -54,13 +55,13 @@
 
 @dataclasses.dataclass(slots=True)
 class _Worker:
-    """A stand-in, and for how many heartbeats each of its runs goes on."""
+    """A stand-in worker and the heartbeats left until each run ends."""
 
     stand_in: StandInWorker
     left: dict[Run, int] = dataclasses.field(default_factory=dict)
 
     def report(self) -> WorkerReport:
-        """Let all runs go on, and return the next heartbeat."""
+        """Advance all runs by one heartbeat and return that heartbeat."""
         for run, left in list(self.left.items()):
             self.left[run] = left - 1
             if left <= 1:
@@ -70,7 +71,7 @@
 
 
 class _Fleet:
-    """Workers, jobs and a leader that records at once."""
+    """Workers, jobs and a leader whose commits are immediate."""
 
     def __init__(self, size: int) -> None:
         self.rng = random.Random(size)  # noqa: S311
@@ -97,11 +98,11 @@
         ]
 
     def commit(self, command: Command) -> None:
-        """Replicate a command to this store alone."""
+        """Apply a command to the store without replication."""
         self.store.apply(next(self._indexes), encode_command(command))
 
     def step(self) -> None:
-        """Let a quarter of a second pass."""
+        """Simulate a quarter of a second."""
         self.now_s += _STEP_S
         for number in range(max(1, self.size // _WORKERS_PER_JOB)):
             self._submit(number)
@@ -150,7 +151,7 @@
 
 
 class _Timed:
-    """Adds the processor time of a block to a fleet's."""
+    """Context manager that adds the block's CPU time to a fleet's total."""
 
     def __init__(self, fleet: _Fleet) -> None:
         self._fleet = fleet
--- a/bench/bench_hotpath.py
+++ b/bench/bench_hotpath.py
@@ -1,4 +1,4 @@
-"""Measure what the way through an entry costs beside a direct call."""
+"""Measure the overhead of a call through an entry over a direct call."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Level:
-    """What one way cost at one number of callers."""
+    """Times and CPU cost of one path at one number of callers."""
 
     taken_s: Sequence[float]
     processor_s: float
@@ -121,16 +121,16 @@
 
 
 def drive_through(cluster: Cluster, callers: int, length_s: float) -> Level:
-    """Call through the entry and return what it cost.
+    """Call through the entry and return times and CPU cost.
 
     Parameters
     ----------
     cluster
         A running fleet.
     callers
-        How many callers call one request after the other.
+        Number of callers, each sending one request after the other.
     length_s
-        How long, in seconds.
+        Duration, in seconds.
 
     Returns
     -------
--- a/bench/bench_keys.py
+++ b/bench/bench_keys.py
@@ -1,4 +1,4 @@
-"""Measure what it costs a request to run at most once."""
+"""Measure the cost of at-most-once execution for a request."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 _WARM_ROUNDS = 20
 _ANNOUNCED_S = 2.0
 _MS_PER_S = 1000
-# An issued key costs one more request to an entry, and no disk.
+# An issued key costs one more request to an entry, but no disk write.
 _MAX_RATIO = 2.0
 _TEXT = """
 [fleet]
--- a/bench/bench_leave.py
+++ b/bench/bench_leave.py
@@ -23,8 +23,8 @@
 _WARMUP_S = 1.0
 _LENGTH_S = 4.5
 _LAST_WORK_LIMIT_S = 2.0
-# The simpler policy: a record is trusted until its lease ends, and a target
-# tells its state nowhere but in announcements, which come at the same rate.
+# Baseline policy: a record is trusted until its lease expires, and a target
+# reports its state only in announcements, which are sent at the same rate.
 _LEASE_ONLY_SHAPE = dataclasses.replace(
     ZONE,
     target_options=(*ZONE.target_options, '--naive'),
@@ -33,7 +33,7 @@
 
 
 def run() -> Iterable[Figure]:
-    """Let a target leave, quietly and while the told entry is cut off."""
+    """Let a target leave, with and without cutting off the notified entry."""
     yield from _compare('quiet', _leave_quietly)
     yield from _compare('told_entry_cut_off', _leave_cut_off)
 
--- a/bench/bench_moves.py
+++ b/bench/bench_moves.py
@@ -1,4 +1,4 @@
-"""Measure how many VMs are moved on an ordinary day, damped and not."""
+"""Measure how many VMs are moved on a normal day, with and without damping."""
 
 from __future__ import annotations
 
--- a/bench/bench_overload.py
+++ b/bench/bench_overload.py
@@ -1,4 +1,4 @@
-"""Measure what is answered in time at several times the capacity."""
+"""Measure goodput at several times the capacity."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Level:
-    """What one policy did at one load."""
+    """The result of one policy at one load."""
 
     load: float
     length_s: float
@@ -56,12 +56,12 @@
 
     @property
     def goodput_per_s(self) -> float:
-        """Answers within the deadline, a second."""
+        """Responses within the deadline, per second."""
         return sum(one.is_good for one in self.samples) / self.length_s
 
     @property
     def p99_s(self) -> float:
-        """Time until whoever was answered had the answer, in seconds."""
+        """99th percentile of the time until an answer, in seconds."""
         return percentile_s(
             (one for one in self.samples if one.outcome == 'ran'),
             _P99,
@@ -69,7 +69,7 @@
 
     @property
     def runs_per_answer(self) -> float:
-        """Runs that targets began for each answer in time."""
+        """Runs that targets started per response in time."""
         return self.runs / max(1, sum(one.is_good for one in self.samples))
 
 
@@ -85,7 +85,7 @@
         ours = [_measure(cluster, load, _LENGTH_S) for load in _LOADS]
     naive = []
     for load in _LOADS:
-        # A fleet of its own, as a flooded target works on for long.
+        # A new fleet for each load: an overloaded target stays busy for long.
         with _naive_fleet() as naive_cluster:
             naive.append(_measure(naive_cluster, load, _NAIVE_LENGTH_S))
     for mine, theirs in zip(ours, naive, strict=True):
@@ -134,8 +134,8 @@
 
 
 def _refusal_share(level: Level) -> float:
-    # Those that waited until they could not finish are told apart: they were
-    # refused as soon as that was known.
+    # Requests that waited until they could not finish in time are excluded:
+    # they were refused as soon as that was known.
     refused = [
         one
         for one in level.samples
--- a/bench/bench_planner.py
+++ b/bench/bench_planner.py
@@ -1,4 +1,4 @@
-"""Measure the time and memory of decisions by the size of the fleet."""
+"""Measure time and memory of planning decisions, by fleet size."""
 
 from __future__ import annotations
 
--- a/bench/bench_recovery.py
+++ b/bench/bench_recovery.py
@@ -1,4 +1,4 @@
-"""Measure restart time, and what whole snapshots cost."""
+"""Measure the restart time and the cost of full snapshots."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
 
 
 def _restart_s(log: RaftLog, snapshot: Snapshot | None) -> float:
-    """Store a log behind a snapshot and time how long a restart takes."""
+    """Store a snapshot and the log after it; return the restart time."""
     with tempfile.TemporaryDirectory() as folder:
         disk = FolderDisk(pathlib.Path(folder))
         storage = Storage(disk)
@@ -101,7 +101,7 @@
 
 
 def _snapshot_behind(log: RaftLog) -> Snapshot:
-    """Return the last snapshot that is taken while a log grows."""
+    """Return the last snapshot that is taken while the log grows."""
     index = log.last_index // _SNAPSHOT_ENTRIES * _SNAPSHOT_ENTRIES
     machine = Machine()
     for entry in log.between(1, index):
@@ -110,7 +110,7 @@
 
 
 def _entries(vms: int, count: int) -> Iterator[LogEntry]:
-    """Return grants of VMs, and renewals of them from then on."""
+    """Return log entries that grant all VMs and then renew the grants."""
     for index in range(1, count + 1):
         vm = f'vm-{index % vms}'
         action: Action = GrantVm(vm, 'pool', _LEASE_S)
@@ -148,7 +148,7 @@
 
 
 def _snapshot_cost(size: str, machine: Machine) -> Iterable[Figure]:
-    """Weigh whole snapshots against the log that they replace."""
+    """Compare full snapshots with the log that they replace."""
     started_s = time.perf_counter()
     state = machine.snapshot()
     taken_ms = (time.perf_counter() - started_s) * _MS_PER_S
--- a/bench/bench_rollout.py
+++ b/bench/bench_rollout.py
@@ -1,4 +1,4 @@
-"""Time from sending a change to its being in force everywhere."""
+"""Measure the time until a configuration change is in force everywhere."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 def run() -> Iterable[Figure]:
-    """Measure eight entries and a crowd, in quiet and across a cut."""
+    """Measure eight entries and many subscribers, without and with a cut."""
     shutil.rmtree(_FOLDER, ignore_errors=True)
     relay = Relay()
     cluster = Cluster(_SHAPE, _FOLDER, relay)
@@ -169,7 +169,7 @@
 
 
 def _in_force_at_s(entry: Process) -> dict[int, float]:
-    """Return from its log when an entry put each version in force."""
+    """Return when an entry put each version in force, read from its log."""
     at_s: dict[int, float] = {}
     for line in pathlib.Path(entry.log.name).read_text().splitlines():
         if not line.startswith('{'):
--- a/bench/bench_skew.py
+++ b/bench/bench_skew.py
@@ -1,6 +1,6 @@
 """Compare goodput with all load on one entry with that of even load.
 
-Runs the real routers on a clock of events (``bench.slot_fleet``).
+Runs the real routers in a discrete-event simulation (``bench.slot_fleet``).
 """
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
 
 
 def _most_running() -> Iterator[Figure]:
-    # With even overload every policy is tempted to pass the slots.
+    # Under even overload, any policy may exceed the slots of a target.
     yield at_most(
         _NAME,
         'most_running_lent_slots',
--- a/bench/bench_urgent.py
+++ b/bench/bench_urgent.py
@@ -1,4 +1,4 @@
-"""Measure how soon urgent work starts, and what a placement costs."""
+"""Measure the start delay of urgent jobs and the cost of a placement."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 _BOUND_S = 1.6
 _GIB = 1024.0**3
 _ROOM = Room(16, 32 * _GIB)
-# What the platform takes for each, in seconds.
+# Time that the platform takes for each action, in seconds.
 _START_S = 0.15
 _THROTTLE_S = 0.2
 _STOP_S = 1.0
@@ -42,7 +42,7 @@
 _WORKERS = 200
 _RUN_S = 300.0
 _SEEDS = (5, 11, 17)
-# Jobs that wait from the start, so that the pool is full throughout.
+# Jobs queued from the start, so that the pool is always full.
 _BACKLOG = 2500
 _ORDINARY_MEAN_S = 600.0
 _URGENT_MEAN_S = 20.0
@@ -56,7 +56,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Policy:
-    """How room for urgent work comes about."""
+    """How capacity for urgent jobs is provided."""
 
     name: str
     held_ratio: float
@@ -65,7 +65,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _Simulation:
-    """Five minutes of a full pool under one policy."""
+    """Simulates five minutes of a full pool under one policy."""
 
     placement: Placement
     rng: random.Random
@@ -79,12 +79,12 @@
     planned: int = 0
 
     def plan(self, at_s: float, event: Event) -> None:
-        """Let an event come at some time."""
+        """Schedule an event at a time, in seconds."""
         self.planned += 1
         heapq.heappush(self.due, (at_s, self.planned, event))
 
     def run(self) -> None:
-        """Take all events in order of time."""
+        """Handle all events in chronological order."""
         while self.due and self.due[0][0] < _RUN_S:
             now_s, _, event = heapq.heappop(self.due)
             if isinstance(event, Tick):
@@ -93,16 +93,16 @@
                 self._perform(self.placement.handle(event, now_s), now_s)
 
     def late_ratio(self) -> float:
-        """Return which part of urgent jobs had not started in time."""
+        """Return the share of urgent jobs that did not start in time."""
         late = sum(delay_s > _BOUND_S for delay_s in self.delays_s)
-        # A job that still waits at the end is late, if it had the time.
+        # A job still waiting at the end is late if its time limit has passed.
         late += sum(
             at_s < _RUN_S - _BOUND_S for at_s in self.submitted_s.values()
         )
         return late / (len(self.delays_s) + len(self.submitted_s))
 
     def percentile_s(self, ratio: float) -> float:
-        """Return a percentile of the start delay of what started."""
+        """Return a percentile of the start delay of started jobs."""
         ordered = sorted(self.delays_s)
         return ordered[int(len(ordered) * ratio)]
 
@@ -201,7 +201,7 @@
 
 
 def _merge(policy: _Policy) -> _Simulation:
-    """Return the first run with what the others measured added."""
+    """Simulate all seeds and merge the results into the first."""
     first, *others = (_simulate(policy, seed) for seed in _SEEDS)
     for other in others:
         first.delays_s.extend(other.delays_s)
@@ -317,7 +317,7 @@
 
 
 def _scan_us(workers: int) -> float:
-    """Return the cost of looking at each worker for the tightest fit."""
+    """Return the cost of scanning all workers for the tightest fit."""
     rooms = [Room(16 * (number % 3) / 2, _GIB) for number in range(workers)]
     need = Room(8, _GIB)
     begun_s = time.perf_counter()
--- a/bench/bench_wave.py
+++ b/bench/bench_wave.py
@@ -1,4 +1,4 @@
-"""Measure how long a fleet's maintenance takes."""
+"""Measure how long a maintenance wave over a fleet takes."""
 
 from __future__ import annotations
 
--- a/bench/capacity_manager.py
+++ b/bench/capacity_manager.py
@@ -1,4 +1,4 @@
-"""Measure what an idle manager costs."""
+"""Measure the CPU time and memory of an idle manager."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 _FOLDER = pathlib.Path('run/capacity-manager')
 _SETTLE_S = 2.0
 _IDLE_S = 5.0
-# The bench's managers poll the platform this many times faster than usual.
+# Managers of the benchmark poll this many times as often as by default.
 _POLLS_PER_USUAL = 10
 
 
--- a/bench/capacity_model.py
+++ b/bench/capacity_model.py
@@ -1,4 +1,4 @@
-"""Work out what each role needs at the planned size from measured slopes."""
+"""Calculate the needs of each role at the planned size from measurements."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 _MEBIBYTE: Final = 1024 * 1024
 _MAINTENANCE_DAYS: Final = 42
 _VM_STEPS: Final = 6
-"""State changes that the maintenance of one VM stores."""
+"""Number of state changes stored for the maintenance of one VM."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Size:
-    """The planned size and how it is laid out."""
+    """The planned size and layout of the fleet."""
 
     workers: int = 22_000
     zones: int = 11
@@ -67,7 +67,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limits:
-    """What one daemon may spend for control."""
+    """Limits on what one daemon may use for control."""
 
     core_share: float = 0.03
     memory_bytes: float = 128 * _MEBIBYTE
@@ -77,7 +77,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RoleNeed:
-    """What one daemon of a role needs at the planned size."""
+    """The needs of one daemon of a role at the planned size."""
 
     role: str
     count: int
@@ -89,7 +89,7 @@
     mechanism: str
 
     def misfits(self, limits: Limits) -> Iterator[str]:
-        """Iterate over the limits that the role passes."""
+        """Iterate over the limits that the role exceeds."""
         if self.core_share > limits.core_share:
             yield f'processor {self.core_share / limits.core_share:.1f} x'
         if self.memory_bytes > limits.memory_bytes:
@@ -130,7 +130,7 @@
     zone_rate = size.workers_per_zone / announce_interval_s(size)
     own_rate = zone_rate / size.entries_per_zone
     relayed_rate = zone_rate - own_rate
-    # What an entry took is passed on to each peer, and theirs come back.
+    # An entry relays its announcements to each peer and receives theirs.
     renewals_per_s = 2 * relayed_rate
     text_bytes = of('control_bytes.text_bytes')
     spent_us = (
--- a/bench/capacity_state.py
+++ b/bench/capacity_state.py
@@ -1,4 +1,4 @@
-"""Measure what the records of VMs cost in the durable state."""
+"""Measure the cost of VM records in the durable state."""
 
 from __future__ import annotations
 
@@ -21,7 +21,8 @@
 _NAME = 'capacity'
 _VMS = 22_000
 _POOLS = 40
-# The log must take at most this part of a whole text for a small change.
+# For a small change, a whole text must be at least this many times as large
+# as the logged change.
 _MIN_SAVING = 100
 _REPEATS = 5
 _LEASE_S = 30.0
--- a/bench/config_costs.py
+++ b/bench/config_costs.py
@@ -1,4 +1,4 @@
-"""Measure what a change, a restart and a read of a text cost."""
+"""Measure the cost of changing, copying and reading a configuration text."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TextCosts:
-    """What one small change, and one full copy, of a text cost."""
+    """The costs of one small change and of one full copy of a text."""
 
     text_bytes: int
     delta_bytes: int
--- a/bench/config_texts.py
+++ b/bench/config_texts.py
@@ -1,4 +1,4 @@
-"""Build texts of any size and clients that change them."""
+"""Build configuration texts of any size and a client that changes them."""
 
 from __future__ import annotations
 
@@ -24,16 +24,16 @@
 
 
 def build_text(pools: int, vms_per_pool: int, slots: int) -> str:
-    """Return a valid text.
+    """Return a valid configuration text.
 
     Parameters
     ----------
     pools
-        How many pools, each with one service.
+        Number of pools, each with one service.
     vms_per_pool
-        How many VMs each lists, one a line.
+        Number of VMs per pool, one per line.
     slots
-        Slots that the first service is promised; vary it for a small change.
+        Promised slots of the first service; vary it for a small change.
 
     Returns
     -------
@@ -52,12 +52,12 @@
 
 
 def members_of(cluster: Cluster) -> list[Member]:
-    """Return the replicas of a fleet, as an operator names them."""
+    """Return the replicas of a fleet as members."""
     return [replica.member for replica in cluster.replicas]
 
 
 class Changer:
-    """Accept one small change after the other.
+    """Client that submits one small change after the other.
 
     Parameters
     ----------
@@ -75,7 +75,7 @@
         self.version = 0
 
     async def change(self) -> float:
-        """Accept one change; return the Unix time at which it was sent."""
+        """Submit one change; return the Unix time at which it was sent."""
         text = build_text(self._pools, self._vms_per_pool, self.version + 1)
         sent_s = time.time()
         reply = await self._client.submit(ChangeText(self.version, text))
--- a/bench/fleet_baselines.py
+++ b/bench/fleet_baselines.py
@@ -1,4 +1,4 @@
-"""Plan waves in simpler ways, to compare with."""
+"""Simpler wave planners that serve as baselines."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 
 class FixedSteps:
-    """Drain so many VMs at once, whatever the budgets say.
+    """Drain a fixed number of VMs at once, regardless of budgets.
 
     Parameters
     ----------
     step_vms
-        VMs of one step; the next begins when all have ended.
+        Number of VMs in one step; the next starts when all have finished.
     """
 
     def __init__(self, step_vms: int) -> None:
@@ -33,7 +33,7 @@
         self.left_vms = 0
 
     def handle(self, message: Message, now_s: float) -> Sequence[WaveEffect]:
-        """Take a message as the planner does."""
+        """Handle a message like the wave planner."""
         if isinstance(message, StartWave) and not self.left_vms:
             self._waiting.extend(message.vms)
             self.left_vms = len(message.vms)
@@ -43,15 +43,15 @@
         return effects
 
     def is_busy(self, vm: str) -> bool:
-        """Return whether a VM is on its way."""
+        """Return whether a VM is under maintenance."""
         return vm in self._active
 
     def is_waiting(self, pool: str) -> bool:
-        """Return whether a pool waits: it does not know pools."""
+        """Return False: this planner does not know pools."""
         return False
 
     def take_wanting(self) -> Mapping[str, str]:
-        """Return the pools that want spare: it does not know any."""
+        """Return no pools: this planner never requests spare VMs."""
         return {}
 
     def _follow(self, message: Message) -> Sequence[WaveEffect]:
--- a/bench/fleet_events.py
+++ b/bench/fleet_events.py
@@ -1,4 +1,4 @@
-"""Write and read seeded lists of what happens to a fleet."""
+"""Write and read seeded event lists for a simulated fleet."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 _DAY_S = 86_400.0
 _HOUR_S = 3600.0
 _USAGE_EVERY_S = 900.0
-# The rates of a day in a fleet of 22,000 VMs, by VM.
+# Daily rates per VM, from those of a fleet of 22,000 VMs.
 _LOST_PER_VM = 410 / 22_000
 _RESTARTED_PER_VM = 3200 / 22_000
 _VMS = 40
 
 
 class Kind(enum.StrEnum):
-    """What happens."""
+    """Kind of an event."""
 
     VM_LOST = 'vm_lost'
     VM_BACK = 'vm_back'
@@ -43,10 +43,10 @@
 
 
 class Event(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One line of a list.
+    """One line of an event list.
 
-    VMs, racks and zones are numbers, taken modulo what the fleet has, so
-    that one list fits fleets of any size; pools are numbers too.
+    VMs, racks and zones are indexes modulo their number in the fleet, so
+    that one list fits fleets of any size; pools are indexes too.
     """
 
     at_s: float
@@ -71,7 +71,7 @@
         at_s = 40_000 + number * 700
         yield Event(at_s, Kind.VM_LOST, flapping)
         yield Event(at_s + 350, Kind.VM_BACK, flapping)
-    # Two operators who go back and forth over one pool.
+    # Two operators who keep reverting each other's change of one pool.
     for number in range(4):
         at_s = 60_000 + number * 150
         yield Event(at_s, Kind.PROMISE, 0, (16, 0)[number % 2])
@@ -105,7 +105,7 @@
     rack = rng.randrange(6)
     yield Event(2400, Kind.RACK_LOST, rack)
     yield Event(9600, Kind.RACK_BACK, rack)
-    # A second VM goes right after the repair.
+    # A second VM fails right after the repair.
     second = rng.randrange(_VMS)
     yield Event(9700, Kind.VM_LOST, second)
     yield Event(9700 + _HOUR_S, Kind.VM_BACK, second)
@@ -154,7 +154,7 @@
 
 
 def main(seed: int) -> int:
-    """Write all lists anew from a seed."""
+    """Regenerate all lists from a seed."""
     for user in USERS:
         for name, make in LISTS.items():
             rng = random.Random(f'{seed}/{user.name}/{name}')
--- a/bench/fleet_large.py
+++ b/bench/fleet_large.py
@@ -1,4 +1,4 @@
-"""Build fleets of many VMs and take waves through them."""
+"""Build large fleets and run maintenance waves over them."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LargeFleet:
-    """A fleet with a spare of a zone and a half in each pool's promise."""
+    """A fleet whose promises leave one and a half zones spare per pool."""
 
     vms: int
     zones: int
@@ -82,11 +82,11 @@
 
     @property
     def maintained(self) -> int:
-        """How many VMs went back to their pools."""
+        """Number of VMs that were restored to their pools."""
         return len(self.restored)
 
     def run(self, most_vms: int) -> None:
-        """Run until so many VMs are maintained, or the wave has ended."""
+        """Run until ``most_vms`` VMs are maintained or the wave has ended."""
         names = tuple(f'vm-{number:05}' for number in range(self.fleet.vms))
         due: list[tuple[float, int, Message]] = [
             (0.0, 0, StartWave('start', 'w', names)),
--- a/bench/fleet_layout.py
+++ b/bench/fleet_layout.py
@@ -1,4 +1,4 @@
-"""Lay out the fleets of two users over zones, racks and pools."""
+"""Define the fleets of two users over zones, racks and pools."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
         pools
             Names of VMs by pool.
         more_slots
-            What is promised besides, by service.
+            Additional promised slots by service.
         """
         lines = [f'[fleet]\nname = "{self.name}"\nguard = ["zone"]']
         more = more_slots or {}
@@ -59,7 +59,7 @@
         return parse_fleet_text('\n'.join(lines))
 
     def size(self, way: BufferWay) -> BufferSize:
-        """Return the size of the fleet by a way of holding spare."""
+        """Return the size of the fleet under a buffer strategy."""
         needs = pool_needs(self.text()).values()
         return size_buffer(way, needs, self.shape)
 
--- a/bench/fleet_runs.py
+++ b/bench/fleet_runs.py
@@ -13,7 +13,7 @@
 
 HOUR_S = 3600.0
 DAY_S = 24 * HOUR_S
-# What each user would run: see docs/design/capacity.md.
+# Buffer strategy chosen for each user: see docs/design/capacity.md.
 CHOSEN = MappingProxyType(
     {
         UWANJA.name: BufferWay.BORROWED,
@@ -26,7 +26,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Result:
-    """A run and what the check says of it."""
+    """A run and the report of its check."""
 
     vms: int
     run: Run
@@ -34,7 +34,7 @@
 
     @property
     def longest_missing_s(self) -> float:
-        """For how long the worst pool missed its promise."""
+        """Longest time that a pool was below its promise, in seconds."""
         return max(self.report.missing_s.values(), default=0)
 
 
@@ -44,7 +44,7 @@
     events: str,
     policy: Policy | None = None,
 ) -> Result:
-    """Run a fleet sized by a way through one list of events."""
+    """Run a fleet, sized by a buffer strategy, through one event list."""
     end_s = _ENDS_S.get(events, _END_S)
     vms = user.vms(user.size(way))
     driver = Driver(user, vms, policy or Policy())
--- a/bench/main_job.py
+++ b/bench/main_job.py
@@ -1,4 +1,4 @@
-"""Run a small fleet under load while parts of it leave and fail."""
+"""Run a small fleet under load while processes leave and fail."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
     Returns
     -------
     int
-        0 if no promise was broken, else 1.
+        0 if no guarantee was violated, else 1.
     """
     shutil.rmtree(_FOLDER, ignore_errors=True)
     cluster = Cluster(_SHAPE, _FOLDER)
--- a/bench/naive_entry.py
+++ b/bench/naive_entry.py
@@ -1,7 +1,7 @@
-"""Pass requests on without any limit: what the entry is measured against.
+"""Forward requests without any limit, as a baseline for the entry.
 
-It chooses targets at random, admits everything, and retries each failure or
-slow attempt at once, without a budget, until the caller's deadline.
+The proxy chooses targets at random, admits all requests, and retries each
+failed or slow attempt at once, without a budget, until the caller's deadline.
 """
 
 from __future__ import annotations
@@ -30,11 +30,11 @@
     Parameters
     ----------
     targets
-        How many targets it waits for before it is ready.
+        Number of targets to wait for before it is ready.
     """
 
     def __init__(self, targets: int) -> None:
-        """Start with no target known."""
+        """Start without any known target."""
         self._expected = targets
         self._targets: list[str] = []
         self._rng = random.Random(1)  # noqa: S311
--- a/bench/profile_entry.py
+++ b/bench/profile_entry.py
@@ -1,4 +1,4 @@
-"""Print where an entry spends its time under load; a tool, no benchmark."""
+"""Profile an entry under load; a tool, not a benchmark."""
 
 from __future__ import annotations
 
--- a/bench/quorum_log.py
+++ b/bench/quorum_log.py
@@ -13,16 +13,16 @@
 
 
 class QuorumLog:
-    """Three small servers, each with a file that it syncs before it answers.
+    """Three small servers, each syncing its file before it acknowledges.
 
     Parameters
     ----------
     folder
-        Where the files go.
+        Folder for the files.
     """
 
     def __init__(self, folder: pathlib.Path) -> None:
-        """Lay the files out; nothing listens yet."""
+        """Choose the file names without starting the servers."""
         self._files = [folder / f'quorum-{number}.log' for number in range(3)]
         self._links: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]]
         self._links = []
@@ -48,7 +48,7 @@
         self._rest.extend(one for one in waiting if not one.done())
 
     async def settle(self) -> None:
-        """Wait for the slowest too, so that no record overtakes another."""
+        """Wait for the slowest servers, so that no record overtakes another."""
         await asyncio.gather(*self._rest)
         self._rest.clear()
 
@@ -58,7 +58,7 @@
             writer.close()
         for server in self._servers:
             server.close()
-        # The servers' tasks see the end of their connections.
+        # Lets the servers' tasks notice that their connections were closed.
         await asyncio.sleep(_END_S)
 
 
--- a/bench/small_fleet.py
+++ b/bench/small_fleet.py
@@ -1,4 +1,4 @@
-"""Lay out and start a small fleet in a folder that goes when it ends."""
+"""Create and start a small fleet in a temporary folder."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 @contextlib.contextmanager
 def laid_out_fleet(shape: Shape) -> Iterator[Cluster]:
-    """Yield a fleet of which nothing is started, and stop it at the end.
+    """Yield a fleet that is not yet started; stop it on exit.
 
     Parameters
     ----------
     shape
-        How large it is.
+        Size and options of the fleet.
     """
     folder = pathlib.Path(tempfile.mkdtemp())
     cluster = Cluster(shape, folder)
--- a/bench/usage.py
+++ b/bench/usage.py
@@ -1,4 +1,4 @@
-"""Read what a process has used of processor and memory."""
+"""Read the CPU time and memory of a process."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Usage:
-    """Processor time used so far and memory resident now."""
+    """CPU time used so far and current resident memory."""
 
     processor_s: float
     memory_bytes: int
 
     def since(self, before: Usage) -> Usage:
-        """Return the processor time used since, with the present memory."""
+        """Return the CPU time used since ``before`` and the current memory."""
         return Usage(self.processor_s - before.processor_s, self.memory_bytes)
 
 
@@ -32,7 +32,7 @@
     Parameters
     ----------
     pid
-        Its process id.
+        Process ID.
 
     Returns
     -------
@@ -53,8 +53,8 @@
     run_ns = [_run_ns(stat) for stat in folder.glob('task/*/schedstat')]
     if run_ns:
         return sum(run_ns) / _NS_PER_S
-    # Kernels without these files tell only whole ticks.  Fields are counted
-    # behind the name, which may contain spaces.
+    # Kernels without these files report only whole ticks.  Fields are counted
+    # after the process name, which may contain spaces.
     fields = (folder / 'stat').read_text().rpartition(')')[2].split()
     ticks = int(fields[_USER_TICKS_FIELD]) + int(fields[_SYSTEM_TICKS_FIELD])
     return ticks / _TICKS_PER_S
--- a/tests/bench/test_capacity_page.py
+++ b/tests/bench/test_capacity_page.py
@@ -1,4 +1,4 @@
-"""Test that the capacity page says what the figures say."""
+"""Test that the capacity page matches the measured figures."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     """The generated part of the page."""
 
     def test_fresh(self) -> None:
-        """The page is what its figures give."""
+        """The page equals the one rendered from its figures."""
         page = PAGE.read_text()
 
         self.assertThat(render(page, Measured(FIGURES)), Equals(page))
--- a/tests/bench/test_cluster.py
+++ b/tests/bench/test_cluster.py
@@ -1,4 +1,4 @@
-"""Test how a small fleet is laid out."""
+"""Test how addresses for a small fleet are chosen."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     """Addresses for processes that are started later."""
 
     def test_distinct(self) -> None:
-        """No address is handed out twice."""
+        """No address is returned twice."""
         addresses = {free_address() for _ in range(_COUNT)}
 
         self.assertThat(addresses, HasLength(_COUNT))
