--- a/bench/bench_commit.py
+++ b/bench/bench_commit.py
@@ -59,7 +59,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Measured:
+class _CommitFigures:
     changes_per_s: float
     syncs_per_change: float
     median_ms: float
@@ -104,7 +104,9 @@
     yield unbounded('commit', 'one_proposer_wait', single.median_ms, 'ms')
 
 
-async def _measure(storage_type: type[Storage], proposers: int) -> _Measured:
+async def _measure(
+    storage_type: type[Storage], proposers: int
+) -> _CommitFigures:
     with tempfile.TemporaryDirectory() as folder:
         async with _replicas(pathlib.Path(folder), storage_type) as started:
             agreements = [agreement for agreement, _ in started]
@@ -113,14 +115,14 @@
                 agreement for agreement in agreements if agreement.is_leader
             )
             storages = [storage for _, storage in started]
-            return await _propose_for_a_while(leader, storages, proposers)
+            return await _measure_load(leader, storages, proposers)
 
 
-async def _propose_for_a_while(
+async def _measure_load(
     leader: RaftAgreement,
     storages: Sequence[Storage],
     proposers: int,
-) -> _Measured:
+) -> _CommitFigures:
     syncs = _syncs(storages)
     started_s = time.monotonic()
     waits_s = list(
@@ -136,7 +138,7 @@
     rate_per_s = len(waits_s) / (time.monotonic() - started_s)
     # A leader may commit before its own disk has synced.
     await asyncio.sleep(_DRAIN_S)
-    return _Measured(
+    return _CommitFigures(
         rate_per_s,
         (_syncs(storages) - syncs) / len(storages) / len(waits_s),
         sorted(waits_s)[len(waits_s) // 2] * 1000,
--- a/bench/bench_control_bytes.py
+++ b/bench/bench_control_bytes.py
@@ -15,7 +15,7 @@
 
 from bench.cluster import Cluster, Shape
 from bench.config_costs import TextCosts, median_s, text_costs
-from bench.config_texts import Changer
+from bench.config_texts import ChangeClient
 from bench.figures import Figure, at_most, unbounded
 from bench.relay import Link, Relay
 from bench.usage import Usage, read_usage
@@ -197,17 +197,17 @@
     cluster: Cluster,
     relay: Relay,
 ) -> list[Figure]:
-    changer = Changer(cluster, pools=5, vms_per_pool=8)
+    changer = ChangeClient(cluster, pools=5, vms_per_pool=8)
     await changer.change()
     await asyncio.to_thread(cluster.wait_until_ready)
     await asyncio.sleep(_IDLE_S / 2)
-    idle = await _watch(cluster, relay, asyncio.sleep(_IDLE_S))
-    busy = await _watch(cluster, relay, _change_often(changer))
+    idle = await _measure_step(cluster, relay, asyncio.sleep(_IDLE_S))
+    busy = await _measure_step(cluster, relay, _submit_changes(changer))
     return list(_daemon_figures(idle, busy))
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Spent:
+class _StepCost:
     """Bytes and CPU time that a step cost an entry and a replica.
 
     Bytes and the entry's CPU time are means over the processes; the
@@ -221,11 +221,11 @@
     replica_s: float
 
 
-async def _watch(
+async def _measure_step(
     cluster: Cluster,
     relay: Relay,
     step: Awaitable[None],
-) -> _Spent:
+) -> _StepCost:
     entries = {one.name for one in cluster.entries}
     replicas = {one.name for one in cluster.replicas}
     before = _usages(cluster)
@@ -238,7 +238,7 @@
         name: usage.since(before[name]).processor_s
         for name, usage in after.items()
     }
-    return _Spent(
+    return _StepCost(
         time.monotonic() - started_s,
         (relay.passed_bytes(lambda link: _is_follow(link, entries)) - followed)
         / len(entries),
@@ -260,13 +260,13 @@
     }
 
 
-async def _change_often(changer: Changer) -> None:
+async def _submit_changes(changer: ChangeClient) -> None:
     for _ in range(_CHANGES):
         await changer.change()
     await asyncio.sleep(1)
 
 
-def _daemon_figures(idle: _Spent, busy: _Spent) -> Iterator[Figure]:
+def _daemon_figures(idle: _StepCost, busy: _StepCost) -> Iterator[Figure]:
     yield at_most(
         _NAME,
         'entry_idle_bytes',
--- a/bench/bench_deciding.py
+++ b/bench/bench_deciding.py
@@ -79,7 +79,7 @@
         self.store = JobStore()
         self.now_s = 0.0
         self.spent_s = 0.0
-        self.heard = 0
+        self.heartbeats = 0
         self._indexes = itertools.count(1)
         self._jobs = itertools.count(1)
         pools = [f'pool-{number}' for number in range(_POOLS)]
@@ -129,7 +129,7 @@
     def _hear(self, report: WorkerReport) -> None:
         with self._timed():
             heard = self.scheduler.hear(report, self.now_s)
-        self.heard += 1
+        self.heartbeats += 1
         if heard is None:
             return
         self.commit(RecordRuns(1, ends=heard.ends))
@@ -171,7 +171,7 @@
         fleet = _Fleet(size)
         for _ in range(_STEPS):
             fleet.step()
-        costs_us.append(fleet.spent_s / fleet.heard * _US_PER_S)
+        costs_us.append(fleet.spent_s / fleet.heartbeats * _US_PER_S)
         name = f'{size} workers: processor time'
         yield unbounded(_BENCH, name, costs_us[-1], 'us/heartbeat')
     growth = costs_us[-1] / costs_us[0]
--- a/bench/bench_keys.py
+++ b/bench/bench_keys.py
@@ -38,7 +38,7 @@
     targets_per_service=3,
     service_time_s=0.0005,
 )
-_Way = Callable[[], Awaitable[None]]
+_Variant = Callable[[], Awaitable[None]]
 
 
 class _KeyBody(msgspec.Struct, frozen=True):
@@ -51,7 +51,7 @@
     Returns
     -------
     iterable of Figure
-        Medians for one caller after another, all ways by turns.
+        Medians for one caller after another, all variants interleaved.
     """
     shutil.rmtree(_FOLDER, ignore_errors=True)
     cluster = Cluster(_SHAPE, _FOLDER)
@@ -91,17 +91,19 @@
     log = QuorumLog(cluster.folder)
     await log.open()
     async with aiohttp.ClientSession() as session:
-        medians = await _by_turns(_Caller(session, cluster.entries, log))
+        medians = await _interleave(_Caller(session, cluster.entries, log))
     await log.close()
     return medians
 
 
-async def _by_turns(caller: _Caller) -> dict[str, float]:
-    taken_s: dict[str, list[float]] = {way: [] for way in caller.ways}
+async def _interleave(caller: _Caller) -> dict[str, float]:
+    taken_s: dict[str, list[float]] = {
+        variant: [] for variant in caller.variants
+    }
     for number in range(_WARM_ROUNDS + _ROUNDS):
-        for name, way in caller.ways.items():
+        for name, variant in caller.variants.items():
             began_s = time.perf_counter()
-            await way()
+            await variant()
             if number >= _WARM_ROUNDS:
                 taken_s[name].append(time.perf_counter() - began_s)
             await caller.log.settle()
@@ -119,7 +121,7 @@
         self._near = entries[0]
         self._far = entries[1]
         self.log = log
-        self.ways: dict[str, _Way] = {
+        self.variants: dict[str, _Variant] = {
             'no_key': self._no_key,
             'issued_key_at_owner': self._at_owner,
             'issued_key_elsewhere': self._elsewhere,
--- a/bench/bench_rollout.py
+++ b/bench/bench_rollout.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterable, Iterator, Sequence
 
 from bench.cluster import Cluster, Process, Shape
-from bench.config_texts import Changer, members_of
+from bench.config_texts import ChangeClient, members_of
 from bench.figures import Figure, at_most, unbounded
 from bench.relay import Relay
 from bench.subscribers import SubscriberGroup
@@ -51,7 +51,7 @@
 
 
 async def _measure(cluster: Cluster, relay: Relay) -> list[Figure]:
-    changer = Changer(cluster, pools=5, vms_per_pool=8)
+    changer = ChangeClient(cluster, pools=5, vms_per_pool=8)
     await changer.change()
     await asyncio.to_thread(cluster.wait_until_ready)
     figures = list(await _quiet(cluster, changer))
@@ -59,7 +59,7 @@
     return figures
 
 
-async def _quiet(cluster: Cluster, changer: Changer) -> Iterator[Figure]:
+async def _quiet(cluster: Cluster, changer: ChangeClient) -> Iterator[Figure]:
     pushed = SubscriberGroup(members_of(cluster), _SUBSCRIBERS, 'pushed')
     polling = SubscriberGroup(members_of(cluster), _SUBSCRIBERS, 'polling')
     pushed.start_following()
@@ -115,7 +115,7 @@
 
 async def _cut(
     cluster: Cluster,
-    changer: Changer,
+    changer: ChangeClient,
     relay: Relay,
 ) -> Iterator[Figure]:
     inside = {one.name for one in cluster.processes() if one.zone == 'd'}
--- a/bench/bench_urgent.py
+++ b/bench/bench_urgent.py
@@ -162,7 +162,7 @@
 
 def run() -> Iterable[Figure]:
     """Return delays by policy and the cost of a placement by size."""
-    merged = {policy.name: _merge(policy) for policy in _POLICIES}
+    merged = {policy.name: _simulate_seeds(policy) for policy in _POLICIES}
     none = merged['none']
     for name, each in merged.items():
         figure = unbounded if name in {'none', 'held'} else _bounded
@@ -200,7 +200,7 @@
     return at_most(bench, figure, measured, unit, 0.01, baseline)
 
 
-def _merge(policy: _Policy) -> _Simulation:
+def _simulate_seeds(policy: _Policy) -> _Simulation:
     """Simulate all seeds and merge the results into the first."""
     first, *others = (_simulate(policy, seed) for seed in _SEEDS)
     for other in others:
--- a/bench/config_texts.py
+++ b/bench/config_texts.py
@@ -56,7 +56,7 @@
     return [replica.member for replica in cluster.replicas]
 
 
-class Changer:
+class ChangeClient:
     """Client that submits one small change after the other.
 
     Parameters
--- a/bench/fleet_driver.py
+++ b/bench/fleet_driver.py
@@ -79,7 +79,7 @@
 class Run:
     """The result of one run."""
 
-    first: tuple[TraceLine, ...]
+    initial: tuple[TraceLine, ...]
     trace: tuple[TraceLine, ...]
     moves: tuple[MoveRecord, ...]
     maintained: int
--- a/bench/fleet_large.py
+++ b/bench/fleet_large.py
@@ -85,14 +85,14 @@
         """Number of VMs that were restored to their pools."""
         return len(self.restored)
 
-    def run(self, most_vms: int) -> None:
-        """Run until ``most_vms`` VMs are maintained or the wave has ended."""
+    def run(self, max_vms: int) -> None:
+        """Run until ``max_vms`` VMs are maintained or the wave has ended."""
         names = tuple(f'vm-{number:05}' for number in range(self.fleet.vms))
         due: list[tuple[float, int, Message]] = [
             (0.0, 0, StartWave('start', 'w', names)),
         ]
         numbers = iter(range(1, 10**9))
-        while due and self.maintained < most_vms:
+        while due and self.maintained < max_vms:
             at_s, _, message = heapq.heappop(due)
             self.now_s = at_s
             for effect in self._decide(message):
--- a/bench/fleet_runs.py
+++ b/bench/fleet_runs.py
@@ -49,5 +49,5 @@
     vms = user.vms(user.size(way))
     driver = Driver(user, vms, policy or Policy())
     run = driver.run(read_events(f'{user.name}-{events}'), end_s)
-    report = check_trace(driver.text, run.first, run.trace, end_s)
+    report = check_trace(driver.text, run.initial, run.trace, end_s)
     return Result(len(vms), run, report)
--- a/bench/fleet_zones.py
+++ b/bench/fleet_zones.py
@@ -128,7 +128,7 @@
         }
         self._vms = {vm.name: vm for vm in vms}
         self._parts: dict[str, Mapping[str, ZonePart]] = {}
-        self._cut = ''
+        self._cut_zone = ''
         self._queue: list[_ScheduledAction] = []
         self._numbers = itertools.count()
         self._now_s = 0.0
@@ -145,7 +145,9 @@
                 0, functools.partial(self._handle, manager, start)
             )
         self._schedule_at(1, self._tick)
-        self._schedule_at(cut_s, functools.partial(self._cut_off, cut_zone))
+        self._schedule_at(
+            cut_s, functools.partial(self._cut_off_zone, cut_zone)
+        )
         self._schedule_at(healed_s, self._heal)
         while self._queue and self._now_s < 8 * 3600:
             due = heapq.heappop(self._queue)
@@ -163,9 +165,9 @@
             self._handle(manager, Tick())
         self._schedule_at(self._now_s + _TICK_S, self._tick)
 
-    def _cut_off(self, zone: str) -> None:
+    def _cut_off_zone(self, zone: str) -> None:
         """Cut a zone off from all others."""
-        self._cut = zone
+        self._cut_zone = zone
         for manager in self._managers.values():
             if self._counts_lost and manager.zone != zone:
                 self._mark_lost(manager, zone)
@@ -178,7 +180,7 @@
 
     def _heal(self) -> None:
         """Reconnect all zones and broadcast the state of their VMs."""
-        self._cut = ''
+        self._cut_zone = ''
         for manager in self._managers.values():
             self._broadcast(manager)
 
@@ -186,7 +188,7 @@
         reachable = [
             manager
             for manager in self._managers.values()
-            if manager.zone != self._cut
+            if manager.zone != self._cut_zone
         ]
         view = reachable[0]
         for need in view.budgets.needs.values():
@@ -210,13 +212,13 @@
     def _handle(self, manager: Manager, message: Message) -> None:
         for effect in manager.planner.handle(message, self._now_s):
             self._execute(manager, effect)
-        if manager.zone != self._cut:
+        if manager.zone != self._cut_zone:
             self._broadcast(manager)
 
     def _broadcast(self, manager: Manager) -> None:
         mine = [vm for vm in manager.view if vm.zone == manager.zone]
         for other in self._managers.values():
-            if other.zone in {self._cut, manager.zone}:
+            if other.zone in {self._cut_zone, manager.zone}:
                 continue
             for vm in mine:
                 if other.view.find(vm.name) != vm:
--- a/proofs/test_capacity.py
+++ b/proofs/test_capacity.py
@@ -104,7 +104,7 @@
     way = rng.choice(tuple(BufferWay))
     driver = Driver(user, user.vms(user.size(way)), Policy(), seed=case)
     run = driver.run(_random_events(user, rng), _END_S)
-    return check_trace(driver.text, run.first, run.trace, _END_S)
+    return check_trace(driver.text, run.initial, run.trace, _END_S)
 
 
 def _random_events(user: User, rng: random.Random) -> list[Event]:
