--- a/bench/bench_commit.py
+++ b/bench/bench_commit.py
@@ -1,4 +1,4 @@
-"""Measure changes a second and syncs per change of three replicas."""
+"""Measure changes per second and syncs per change of three replicas."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 import time
 from collections.abc import AsyncIterator, Iterable, Sequence
 
-from bench.figures import Figure, at_least, at_most, told
+from bench.figures import Figure, at_least, at_most, unbounded
 from wigeonreach.observe import LogFormat, LogLevel, Logger, configure_logs
 from wigeonreach.agreement._agreement import RaftAgreement
 from wigeonreach.agreement._disk import FolderDisk
@@ -29,20 +29,20 @@
 _DRAIN_S = 2.0
 _PROPOSERS = 64
 _COMMAND = b'c' * 200
-_ONE_A_MESSAGE = RaftSettings(batch_bytes=1)
+_ONE_CHANGE_PER_MESSAGE = RaftSettings(batch_bytes=1)
 
 
-class _EachAlone(Storage):
-    """The simpler policy: one sync for each change."""
+class _UngroupedStorage(Storage):
+    """Baseline policy: one sync for each change."""
 
     def write(self, writes: Sequence[Write]) -> None:
-        """Write one after the other."""
+        """Write the changes one after the other."""
         for write in writes:
             super().write([write])
 
 
 class _Counter:
-    """A state machine that only counts."""
+    """A state machine that counts applied commands."""
 
     def __init__(self) -> None:
         self.count = 0
@@ -59,7 +59,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Measured:
+class _CommitFigures:
     changes_per_s: float
     syncs_per_change: float
     median_ms: float
@@ -75,7 +75,7 @@
     """
     configure_logs(LogFormat.JSON, LogLevel.ERROR)
     grouped = asyncio.run(_measure(Storage, _PROPOSERS))
-    alone = asyncio.run(_measure(_EachAlone, _PROPOSERS))
+    alone = asyncio.run(_measure(_UngroupedStorage, _PROPOSERS))
     single = asyncio.run(_measure(Storage, 1))
     yield at_least(
         'commit',
@@ -93,18 +93,20 @@
         alone.syncs_per_change / 4,
         alone.syncs_per_change,
     )
-    yield told(
+    yield unbounded(
         'commit',
         'median_wait',
         grouped.median_ms,
         'ms',
         alone.median_ms,
     )
-    yield told('commit', 'one_proposer', single.changes_per_s, '1/s')
-    yield told('commit', 'one_proposer_wait', single.median_ms, 'ms')
+    yield unbounded('commit', 'one_proposer', single.changes_per_s, '1/s')
+    yield unbounded('commit', 'one_proposer_wait', single.median_ms, 'ms')
 
 
-async def _measure(storage_type: type[Storage], proposers: int) -> _Measured:
+async def _measure(
+    storage_type: type[Storage], proposers: int
+) -> _CommitFigures:
     with tempfile.TemporaryDirectory() as folder:
         async with _replicas(pathlib.Path(folder), storage_type) as started:
             agreements = [agreement for agreement, _ in started]
@@ -113,14 +115,14 @@
                 agreement for agreement in agreements if agreement.is_leader
             )
             storages = [storage for _, storage in started]
-            return await _propose_for_a_while(leader, storages, proposers)
+            return await _measure_load(leader, storages, proposers)
 
 
-async def _propose_for_a_while(
+async def _measure_load(
     leader: RaftAgreement,
     storages: Sequence[Storage],
     proposers: int,
-) -> _Measured:
+) -> _CommitFigures:
     syncs = _syncs(storages)
     started_s = time.monotonic()
     waits_s = list(
@@ -134,9 +136,9 @@
         ),
     )
     rate_per_s = len(waits_s) / (time.monotonic() - started_s)
-    # A leader may commit before its own disk is done.
+    # A leader may commit before its own disk has synced.
     await asyncio.sleep(_DRAIN_S)
-    return _Measured(
+    return _CommitFigures(
         rate_per_s,
         (_syncs(storages) - syncs) / len(storages) / len(waits_s),
         sorted(waits_s)[len(waits_s) // 2] * 1000,
@@ -182,7 +184,9 @@
                 storage.load(),
                 _fail,
                 Logger(member.name),
-                RaftSettings() if storage_type is Storage else _ONE_A_MESSAGE,
+                RaftSettings()
+                if storage_type is Storage
+                else _ONE_CHANGE_PER_MESSAGE,
             )
             server = await serve(
                 member.address,
--- a/bench/bench_hotpath.py
+++ b/bench/bench_hotpath.py
@@ -1,4 +1,4 @@
-"""Measure what the way through an entry costs beside a direct call."""
+"""Measure the overhead of a call through an entry over a direct call."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import aiohttp
 
 from bench.cluster import Cluster, Process, Shape
-from bench.figures import Figure, at_most, told
+from bench.figures import Figure, at_most, unbounded
 from bench.open_loop import percentile_of_s
 from bench.small_fleet import laid_out_fleet, start_fleet
 from bench.usage import read_usage
@@ -42,7 +42,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Level:
-    """What one way cost at one number of callers."""
+    """Times and CPU cost of one path at one number of callers."""
 
     taken_s: Sequence[float]
     processor_s: float
@@ -76,21 +76,21 @@
 
 
 def _figures(callers: int, direct: Level, through: Level) -> Iterator[Figure]:
-    yield told(
+    yield unbounded(
         _BENCH,
         f'processor_us_per_request_at_{callers}',
         through.processor_us_per_request,
         'us',
         round(direct.processor_us_per_request, 6),
     )
-    yield told(
+    yield unbounded(
         _BENCH,
         f'median_us_at_{callers}',
         through.median_us,
         'us',
         round(direct.median_us, 6),
     )
-    yield told(
+    yield unbounded(
         _BENCH,
         f'answered_per_s_at_{callers}',
         len(through.taken_s) / _LENGTH_S,
@@ -121,16 +121,16 @@
 
 
 def drive_through(cluster: Cluster, callers: int, length_s: float) -> Level:
-    """Call through the entry and return what it cost.
+    """Call through the entry and return times and CPU cost.
 
     Parameters
     ----------
     cluster
         A running fleet.
     callers
-        How many callers call one request after the other.
+        Number of callers, each sending one request after the other.
     length_s
-        How long, in seconds.
+        Duration, in seconds.
 
     Returns
     -------
--- a/bench/bench_overload.py
+++ b/bench/bench_overload.py
@@ -1,4 +1,4 @@
-"""Measure what is answered in time at several times the capacity."""
+"""Measure goodput at several times the capacity."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from collections.abc import Iterable, Iterator, Sequence
 
 from bench.cluster import Cluster, Shape
-from bench.figures import Figure, at_least, at_most, told
+from bench.figures import Figure, at_least, at_most, unbounded
 from bench.open_loop import Sample, Stream, drive, percentile_s
 from bench.small_fleet import laid_out_fleet, start_fleet
 from wigeonreach.codes import ResultCode
@@ -47,7 +47,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Level:
-    """What one policy did at one load."""
+    """The result of one policy at one load."""
 
     load: float
     length_s: float
@@ -56,12 +56,12 @@
 
     @property
     def goodput_per_s(self) -> float:
-        """Answers within the deadline, a second."""
+        """Responses within the deadline, per second."""
         return sum(one.is_good for one in self.samples) / self.length_s
 
     @property
     def p99_s(self) -> float:
-        """Time until whoever was answered had the answer, in seconds."""
+        """99th percentile of the time until an answer, in seconds."""
         return percentile_s(
             (one for one in self.samples if one.outcome == 'ran'),
             _P99,
@@ -69,7 +69,7 @@
 
     @property
     def runs_per_answer(self) -> float:
-        """Runs that targets began for each answer in time."""
+        """Runs that targets started per response in time."""
         return self.runs / max(1, sum(one.is_good for one in self.samples))
 
 
@@ -85,7 +85,7 @@
         ours = [_measure(cluster, load, _LENGTH_S) for load in _LOADS]
     naive = []
     for load in _LOADS:
-        # A fleet of its own, as a flooded target works on for long.
+        # A new fleet for each load: an overloaded target stays busy for long.
         with _naive_fleet() as naive_cluster:
             naive.append(_measure(naive_cluster, load, _NAIVE_LENGTH_S))
     for mine, theirs in zip(ours, naive, strict=True):
@@ -105,7 +105,7 @@
         'ratio',
         _MAX_REFUSAL_SHARE,
     )
-    yield told(
+    yield unbounded(
         _BENCH,
         'refused_after_waiting_share_at_4',
         _waited_share(ours[-1]),
@@ -119,7 +119,7 @@
         ('p99_s', 's'),
         ('runs_per_answer', 'ratio'),
     ):
-        yield told(
+        yield unbounded(
             _BENCH,
             f'{name}_at_{mine.load:g}',
             getattr(mine, name),
@@ -134,8 +134,8 @@
 
 
 def _refusal_share(level: Level) -> float:
-    # Those that waited until they could not finish are told apart: they were
-    # refused as soon as that was known.
+    # Requests that waited until they could not finish in time are excluded:
+    # they were refused as soon as that was known.
     refused = [
         one
         for one in level.samples
