--- a/src/wigeonreach/jobs/_commands.py
+++ b/src/wigeonreach/jobs/_commands.py
@@ -16,7 +16,7 @@
 
 
 class SetManifest(Command, frozen=True):
-    """Activate a manifest unless its version is not above the active one."""
+    """Activate a manifest if its version is higher than the active one's."""
 
     manifest: Manifest
 
@@ -66,14 +66,16 @@
 class CrashEvidence(enum.IntEnum):
     """How strongly the loss of a worker suggests that a run crashed it.
 
-    ``SOUND`` is evidence against it: the run had worked for a long time.  The
-    evidence for it grows from ``UNCERTAIN`` to ``ALONE``:
+    ``SOUND`` clears the run, which had worked for a long time.  The suspicion
+    that the run crashed its worker grows from ``UNCERTAIN`` to ``ALONE``:
 
     - ``UNCERTAIN``: the worker went down, but perhaps after the run's lease,
       or together with other workers for another cause;
-    - ``BESIDE_OTHERS``: other work on the worker may be the cause as well;
-    - ``AT_WORK``: nothing else can be the cause, but the run had been working;
-    - ``ALONE``: nothing else can be the cause, and the run had just begun.
+    - ``BESIDE_OTHERS``: other work on the worker, or its VM, may be the cause;
+    - ``AT_WORK``: a heartbeat had listed the run, and all runs of other jobs on
+      the worker were sound, so that none of them can be the cause;
+    - ``ALONE``: no heartbeat had listed the run, and no run of another job on
+      the worker had just begun or was of a task with earlier crashes.
 
     ``UNSETTLED`` means that the worker stopped responding and the cause is
     still unknown.  Another value replaces it later: ``EXPLAINED`` if the cause
@@ -90,7 +92,7 @@
 
 
 class RunCrashed(msgspec.Struct, frozen=True, array_like=True):
-    """A run whose worker stopped responding, and the evidence against it.
+    """Evidence whether a run crashed its worker, which stopped responding.
 
     Attributes
     ----------
@@ -146,6 +148,7 @@
     WAITING = 0
     ORDERED = 1
     DONE = 2
+    # The platform refused the VM for good, for example as not part of the wave.
     GONE = 3
 
 
@@ -213,7 +216,8 @@
 class CommandReply(msgspec.Struct, frozen=True, array_like=True):
     """Reply to the proposer of a command.
 
-    ``version`` is the version of the active manifest.
+    ``version`` is the version of the active manifest in the reply to
+    ``SetManifest``, and 0 in all others.
     """
 
     verdict: Verdict
--- a/src/wigeonreach/jobs/_model.py
+++ b/src/wigeonreach/jobs/_model.py
@@ -161,7 +161,9 @@
 class AdvicePolicy(msgspec.Struct, frozen=True, array_like=True):
     """Timing of the advisor's answers for a queue."""
 
+    # Constant part of the time that an answer takes.
     decision_ms: int
+    # Additional time per worker that is asked about.
     per_worker_ms: int
     validity_ms: int
 
@@ -174,12 +176,13 @@
     priority
         0 is the highest priority.
     max_failures
-        Number of failed runs of a task that ends its job.
+        Number of failed runs, summed over the members of a gang, after which
+        a task is given up; its job then fails unless it has serving tasks.
     slack_factor
-        A job is worth its full value if it ends within this multiple of its
-        critical path plus ``target_latency_ms``.
+        A job is worth its full value if it ends within its objective: its
+        critical path times this factor, plus ``target_latency_ms``.
     target_latency_ms
-        Constant part of that time.
+        Constant part of the objective.
     is_public
         Whether calls need no credential.
     """
@@ -227,6 +230,7 @@
     version: int
     queues: tuple[QueueSpec, ...] = ()
     services: tuple[ServiceSpec, ...] = ()
+    # Not enforced: the HTTP listeners have fixed limits.
     max_body_bytes: int = 0
     document: bytes = b''
     workspaces: tuple[WorkspaceSpec, ...] | None = None
@@ -259,6 +263,10 @@
 
     ``LOST`` is decided by the leader: the worker can't run it any more.
     ``REFUSED`` means that the worker never began the run.
+    ``STOPPED`` means that the worker was told to stop the run.
+    ``LAPSED`` means that the lease of its worker expired.
+    ``PEER_ENDED`` means that another task of its gang ended.
+    ``PEERS_MISSING`` means that the other tasks of its gang did not start.
     """
 
     DONE = 0
--- a/src/wigeonreach/jobs/_records.py
+++ b/src/wigeonreach/jobs/_records.py
@@ -20,7 +20,7 @@
 
 
 class TaskCrash(msgspec.Struct, frozen=True, array_like=True):
-    """A run whose worker stopped responding, and the evidence against it.
+    """Evidence whether a run crashed its worker, which stopped responding.
 
     Attributes
     ----------
@@ -42,10 +42,11 @@
         Number of the newest run; 0 before the first.
     worker, vm
         The worker incarnation that the newest run was assigned to, and its VM;
-        from the VM, the next leader can tell whether that worker crashed.
+        if another worker appears on the VM, the next leader knows that the
+        first one went down.
     crashes
-        Runs whose workers crashed or may have crashed, since the last run that
-        worked for a long time.
+        Runs whose workers crashed or may have crashed; cleared when a run is
+        recorded as ``SOUND``, that is, as having worked for a long time.
     """
 
     phase: TaskPhase = TaskPhase.WAITING
@@ -58,10 +59,10 @@
 
     @property
     def crash_count(self) -> int:
-        """Number of crashes held against the task, unexplained losses included.
+        """Number of recorded crashes, or 0 if the only one is still unsettled.
 
-        A single unexplained loss is not counted: most often the worker was cut
-        off from the network.
+        A single loss of unknown cause is not counted: most often the worker was
+        cut off from the network.
         """
         count = len(self.crashes)
         is_certain = any(
--- a/src/wigeonreach/jobs/_runs.py
+++ b/src/wigeonreach/jobs/_runs.py
@@ -13,9 +13,10 @@
 
 # Limits for giving up a task that crashes its workers.  Each crash costs a VM for
 # some seconds and all other runs on it, again and again; a task that is given up
-# wrongly costs its team a job.  So only crashes count that nothing else can have
-# caused, and several of them, as a worker may also go down by coincidence.
-# Early crashes are those with evidence ``ALONE``, soon after the run began.
+# wrongly costs its team a job.  So several crashes are needed, as a worker may
+# also go down by coincidence, and crashes that may have another cause count
+# only beside early ones or, with a higher limit, if they came at a start.
+# Early crashes are those with evidence ``ALONE``: the run was never listed.
 _EARLY_CRASH_LIMIT = 2
 _CRASH_LIMIT_WITH_EARLY = 3
 _CONCLUSIVE_CRASH_LIMIT = 3
@@ -24,7 +25,7 @@
 _START_CRASH_LIMIT = 5
 _CONCLUSIVE = frozenset((CrashEvidence.AT_WORK, CrashEvidence.ALONE))
 _FINAL_PHASES = frozenset((TaskPhase.DONE, TaskPhase.GIVEN_UP))
-# Crashes of any evidence, including those that may have come after the lease.
+# Not used: the number of crashes of any evidence has no limit of its own.
 _MAX_CRASHES = 4
 
 
@@ -46,9 +47,10 @@
 def apply_run_end(job: JobRecord, ended: RunEnded) -> tuple[TaskKey, ...]:
     """Apply the end of a run to its task.
 
-    The end of an older run is ignored: its task was reassigned, and only the
-    newest run counts.  A run that was recorded as lost still counts if it is
-    reported as done before another run began, or if the newer run is a copy.
+    Only the newest run of a task counts, except that of runs that may be active
+    concurrently, the first to be done counts.  If the newest run is reported as
+    done while its task waits for another run, because it was recorded as lost,
+    it still counts, unless the task is part of a gang.
 
     Returns
     -------
@@ -67,7 +69,7 @@
 
 
 def apply_run_crash(job: JobRecord, crashed: RunCrashed) -> bool:
-    """Apply the evidence from a lost worker; return whether the task changed.
+    """Update the crashes of a lost worker's task; return whether it changed.
 
     Each run counts once, whether or not it is still the newest: a crash is
     certain only once the VM has another worker, and the task may have been
@@ -164,7 +166,7 @@
     task: TaskRecord,
     ended: RunEnded,
 ) -> bool:
-    """Whether a run is done before the newer copy of it is."""
+    """Whether an older run is done first, of a task that may run twice."""
     may_run_twice = job.step_spec(ended.task).may_run_twice
     is_older = ended.run < task.run and task.phase not in _FINAL_PHASES
     return may_run_twice and is_older and ended.end is RunEnd.DONE
--- a/src/wigeonreach/jobs/_store.py
+++ b/src/wigeonreach/jobs/_store.py
@@ -83,14 +83,17 @@
     assigned
         For each worker, the runs that it has or may have.
     changed
-        Jobs that changed since a reader last cleared this set.
+        Jobs that changed since this set was last cleared: by the scheduler of
+        a leader, or regularly by the core process of a follower.
     reassigned
-        Workers whose runs changed since a reader last cleared this set.
+        Workers to which a run was assigned, or from which one was removed,
+        since the scheduler of a leader last cleared this set.
     vm_orders
-        By VM, the newest order that a leader has sent or was about to send.
+        By VM, the newest order that a leader has sent or was about to send,
+        until it is recorded as settled.
     newly_ordered, newly_answered
-        VMs for which an order, or the reply to one, was recorded since a
-        reader last cleared these sets.
+        VMs for which an order, or the reply to one, was recorded since
+        ``VmHolds`` last cleared these sets.
     queues, workspaces
         Indexes of the queues and the workspaces of the manifest.
     use
@@ -369,7 +372,8 @@
     """Assign tasks as far as the caps of their workspaces allow.
 
     The scheduler also checks the caps, but may not have seen the newest records.
-    A gang starts as a whole or not at all.
+    The cap is checked once for a whole gang, whose starts have to be adjacent;
+    a start that is invalid for another reason is skipped alone.
     """
     groups = itertools.groupby(
         starts,
--- a/src/wigeonreach/jobs/_waves.py
+++ b/src/wigeonreach/jobs/_waves.py
@@ -26,7 +26,7 @@
 
     @property
     def is_done(self) -> bool:
-        """Whether each VM was maintained or no longer exists."""
+        """Whether each VM was maintained, or refused for good."""
         return all(vm.step in _FINAL_STEPS for vm in self.vms.values())
 
     @property
