--- a/src/wigeonreach/core/_advice_poller.py
+++ b/src/wigeonreach/core/_advice_poller.py
@@ -11,7 +11,8 @@
 from wigeonreach.scheduling._advice import Advice, Question
 
 _POLL_INTERVAL_S = 0.05
-# The advisor serves one call per process at a time; a second one queues there.
+# The advisor serves one call per process at a time; a second one waits in its
+# queue, and is served as soon as the first one ends.
 _MAX_CONCURRENT_CALLS = 2
 
 
--- a/src/wigeonreach/core/_call_handler.py
+++ b/src/wigeonreach/core/_call_handler.py
@@ -144,7 +144,8 @@
     queue, job_id = found
     denial = handler.check_access(call, queue, handler.store.jobs.get(job_id))
     if denial is not None:
-        # A replaced leader may not know the newest credentials.
+        # This process may have been replaced as leader without knowing it, and
+        # may then not know the newest credentials.
         await handler.term.barrier.wait()
         return denial
     if not _JOB_ID.fullmatch(job_id):
@@ -180,7 +181,7 @@
     call: SubmitJob,
     handler: CallHandler,
 ) -> AnyReply | None:
-    """Return the reply to a job that was not accepted, or None otherwise."""
+    """Return the reply to a rejected job; None if it is new or known."""
     if verdict is Verdict.NO_QUEUE:
         return NotFound()
     if verdict is Verdict.UNAUTHORIZED:
@@ -238,6 +239,7 @@
     if job_id not in handler.store.jobs:
         await handler.term.barrier.wait()
     job = handler.store.jobs.get(job_id)
+    # A job can be cancelled even after its queue was removed.
     queue = found[0] if found else job and job.queue
     denial = handler.check_access(call, queue, job) if queue else None
     if denial is not None:
--- a/src/wigeonreach/core/_clock.py
+++ b/src/wigeonreach/core/_clock.py
@@ -8,7 +8,8 @@
 from wigeonreach.observe import LogEvent, Logger, Metrics
 
 _MS_PER_S = 1000
-# A clock that is slewed rather than stepped moves by less between two samples.
+# A larger change between two samples is a jump: a clock that is corrected
+# gradually (slewed rather than stepped) moves by less.
 _JUMP_THRESHOLD_MS = 250.0
 # A jump that is reverted within this time was a fault; one that lasts may have
 # corrected the clock.
@@ -88,7 +89,7 @@
         self._metrics = metrics
 
     def now_ms(self) -> float:
-        """Return Unix time in milliseconds, without short jumps."""
+        """Return Unix time in milliseconds, without brief jumps."""
         now_s = steady_s()
         jumped_ms = self._offset.update(now_s, wall_ms())
         if jumped_ms:
--- a/src/wigeonreach/core/_cycle_stats.py
+++ b/src/wigeonreach/core/_cycle_stats.py
@@ -6,8 +6,8 @@
 
 from hdrh.histogram import HdrHistogram
 
-# One line per interval can be compared with the decisions of the same seconds,
-# and is negligible among a few hundred log lines a second.
+# Short enough to compare a report with the decisions of the same seconds; long
+# enough for its line to be negligible among a few hundred log lines a second.
 _REPORT_INTERVAL_S = 10.0
 _US_PER_S = 1_000_000
 _US_PER_MS = 1000
@@ -26,7 +26,8 @@
     heartbeats
         Number of heartbeats received in these cycles.
     median_ms, p99_ms, max_ms
-        Time from receiving heartbeats to replying, including commits.
+        Duration of a cycle, including commits.  A heartbeat may wait longer,
+        as its reply may be held until a later cycle.
     """
 
     cycles: int
--- a/src/wigeonreach/core/_daemon.py
+++ b/src/wigeonreach/core/_daemon.py
@@ -43,7 +43,8 @@
 _FORGET_INTERVAL_S = 5.0
 _CLOCK_INTERVAL_S = 1.0
 _DISK_CHECK_INTERVAL_S = 1.0
-# Shorter than the shortest timeout of a caller (1 s).
+# Shorter than the timeouts of the control API (0.92 s) and its callers (1 s).
+# A client may set a shorter one, down to 0.1 s.
 _RELAY_TIMEOUT_S = 0.9
 # An uncontested election takes a few disk syncs and messages.
 _HAND_OVER_TIMEOUT_S = 1.0
@@ -141,7 +142,7 @@
         self._gateway.change_seeds(seeds)
 
     async def call(self, call: AnyCall, timeout_s: float) -> AnyReply:
-        """Handle a call of a client, a worker or an operator."""
+        """Handle a call of a worker or an operator."""
         if self.is_leading:
             reply = await self._answer_within(call, timeout_s)
             if not lacks_leader(reply):
@@ -192,7 +193,8 @@
     @mode.Service.timer(0.2)
     async def _refresh_state(self) -> None:
         if self._lead_task is None:
-            # Only the leader's scheduler reads and clears the changed jobs.
+            # The changed jobs are for a leader's scheduler, which clears them;
+            # in a follower, nothing else would.
             self._store.changed.clear()
         self._vm_holds.refresh(steady_s())
         cores = self._gateway.cores
@@ -205,8 +207,8 @@
             async with asyncio.timeout(timeout_s):
                 return await self._answer(call)
         except TimeoutError:
-            # The caller has timed out, so the call is not forwarded as it would
-            # be without a leader.
+            # Not a reply that lacks a leader: the call would then be forwarded,
+            # although its caller has timed out.
             return Unknown()
 
     async def _answer(self, call: AnyCall) -> AnyReply:
@@ -220,7 +222,8 @@
                 call=type(call).__name__,
                 reason=str(error),
             )
-            # A read has no effect, so its outcome is known.
+            # Nobody depends on the effect of a read or a heartbeat, so these
+            # may be reported as not done.
             return _NO_LEADER if isinstance(call, READS) else Unknown()
         if isinstance(call, PutManifest):
             # Before the acknowledgement, so that entry processes drop denials
@@ -231,7 +234,8 @@
     def _with_leader_address(self, reply: AnyReply) -> AnyReply:
         """Add the leader's address to a worker's orders.
 
-        The worker's next heartbeat then goes to the leader directly.
+        The worker's next heartbeat then goes to the leader directly.  All core
+        processes serve workers on the same port.
         """
         leader = self._agreement.leader
         has_api = self._settings.api_port > 0
@@ -330,6 +334,7 @@
             group.create_task(advice_poller.run())
 
     def _abort_process(self, error: Exception) -> None:
-        # After a failed disk sync, no state in memory may be exposed.
+        # After a failed disk sync, no state in memory may be exposed; after a
+        # bug in the leading task, another process has to lead.
         self._log.warning(LogEvent.REPLICA_FAILED, reason=repr(error))
         os._exit(ExitCode.FAILED)  # noqa: SLF001, WPS437
--- a/src/wigeonreach/core/_replica_setup.py
+++ b/src/wigeonreach/core/_replica_setup.py
@@ -81,7 +81,7 @@
 
 
 def _members(settings: CoreSettings) -> tuple[Member, ...]:
-    """Return the seeds in order; the first one founds the cluster."""
+    """Return the seeds, the first of which founds the cluster, and itself."""
     names = settings.seeds
     if settings.name not in names:
         names = (*names, settings.name)
--- a/src/wigeonreach/core/_settings.py
+++ b/src/wigeonreach/core/_settings.py
@@ -25,10 +25,11 @@
     tolerated_losses
         Number of disks that may be lost at the same time.
     api_port
-        Port on which workers reach any core process; 0 if there is none
+        Port for workers, the same on all core processes; 0 if there is none
         because workers find the leader by themselves.
     order_pause_s
-        Minimum time between orders of two leaders for one VM.
+        Minimum time between the last order of one leader for a VM and the
+        first order of another leader for it.
     scheduling
         Settings of the scheduler.
     advertised
--- a/src/wigeonreach/core/_term.py
+++ b/src/wigeonreach/core/_term.py
@@ -102,7 +102,7 @@
 
     @property
     def has_begun(self) -> bool:
-        """Whether records of earlier leaders are rejected from now on."""
+        """Whether ``begin`` is done, so that earlier leaders are fenced off."""
         return self._scheduler is not None
 
     async def propose(self, command: Command) -> Verdict:
@@ -140,7 +140,7 @@
     async def receive_heartbeat(
         self, report: WorkerReport
     ) -> WorkerOrders | None:
-        """Queue a heartbeat; return its orders, or None without a reply."""
+        """Return a heartbeat's orders; None if a cycle failed or term ended."""
         heartbeat = _Heartbeat(report, steady_s(), asyncio.Future())
         self._received.append(heartbeat)
         self.wake.set()
@@ -171,7 +171,8 @@
         try:
             await self._cycle()
         except StateError as error:
-            # The term may continue: only the waiting heartbeats get no reply.
+            # A failed commit does not end the term: only the waiting heartbeats
+            # get no orders.
             waiting = len(self._received) + len(self._pending)
             self._log.cycle_failed(self.term, str(error), waiting)
             self._resolve_all()
@@ -206,6 +207,7 @@
         starts = self.scheduler.plan(steady_s(), self.wall_clock.now_ms())
         await self._record_starts(starts)
         if received and not ends and not starts:
+            # A commit of ends or starts would have confirmed leadership.
             await self.barrier.wait()
         self._answer_pending(steady_s())
 
@@ -280,6 +282,7 @@
     async def _record(self, command: RecordRuns) -> None:
         verdict = await self.propose(command)
         if verdict is Verdict.OUTDATED:
+            # A newer leader has begun, so this task ends as if cancelled.
             raise asyncio.CancelledError
 
     def _answer_pending(self, now_s: float) -> None:
--- a/src/wigeonreach/core/_term_log.py
+++ b/src/wigeonreach/core/_term_log.py
@@ -75,7 +75,7 @@
         )
 
     def worker_joined(self, report: WorkerReport) -> None:
-        """Log the first heartbeat of a worker incarnation."""
+        """Log the first heartbeat of an incarnation that was not tracked."""
         self._log.info(
             LogEvent.WORKER_JOINED,
             worker=report.worker,
@@ -155,11 +155,11 @@
         )
 
     def run_crashed(self, crashed: RunCrashed) -> None:
-        """Count a run whose worker crashed, and log the evidence."""
+        """Count and log the evidence on a run whose worker was lost."""
         evidence = crashed.evidence.name.lower()
         self._metrics.count('runs_crashed', evidence)
         if crashed.evidence is CrashEvidence.UNSETTLED:
-            # The end of the run is logged at the same time.
+            # ``run_ended`` logs the run as lost at the same time.
             return
         task = self._store.task_of(crashed.task)
         self._log.info(
@@ -182,7 +182,7 @@
         )
 
     def runs_ordered(self, starts: tuple[RunStarted, ...]) -> None:
-        """Log runs that are recorded and about to be sent to workers."""
+        """Log starts after their commit, including any that it rejected."""
         self._metrics.count('runs_ordered', amount=len(starts))
         self._log.info(
             LogEvent.RUNS_ORDERED,
--- a/src/wigeonreach/core/_vm_actions.py
+++ b/src/wigeonreach/core/_vm_actions.py
@@ -27,8 +27,8 @@
 _LIST_INTERVAL_S = 1.0
 # Without a wave, the list only shows which VMs are on standby.
 _STANDBY_LIST_INTERVAL_S = 4.0
-# Interval for recording which orders are answered; a small part of the time for
-# which an order holds its VM.
+# Interval for recording which orders are answered; short compared with the time
+# for which an order holds its VM, so that it hardly extends the hold.
 _REPORT_INTERVAL_S = 0.4
 
 
--- a/src/wigeonreach/core/_vm_holds.py
+++ b/src/wigeonreach/core/_vm_holds.py
@@ -3,9 +3,10 @@
 The platform requires a minimum time between orders of two leaders for one VM.
 Orders are replicated before they are sent, so that each process knows which VMs
 may have had a recent order; only those are held after a change of leader.
-The reply to an order is replicated too, which shortens the hold.  Orders answered
-long enough ago are replicated as settled, as a restarted process does not know
-the age of an order.
+The reply to an order is replicated too, which shortens the hold.  Once any
+leader may send the next order, the last one is recorded as settled, which
+removes it: a restarted process does not know its age and would hold the VM
+again.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 from wigeonreach.jobs import JobStore
 from wigeonreach.scheduling._vms import ORDER_LASTS_S
 
-# Upper bound of the delay of clocks and replies.
+# Upper bound of the clock error plus the delay of a reply.
 _MARGIN_S = 0.5
 
 
@@ -41,7 +42,7 @@
         self._reported: set[str] = set()
 
     def begin_term(self, now_s: float) -> None:
-        """Reset the answers to own orders at the beginning of a term."""
+        """Forget the answers to orders of this process's earlier term."""
         self._answered_s.clear()
         self._reported.clear()
         self.refresh(now_s)
@@ -52,7 +53,7 @@
         self._reported.discard(vm)
 
     def note_order_answered(self, vm: str, now_s: float) -> None:
-        """Record that the order for a VM is done or finally refused."""
+        """Record that the platform carried out or refused an order for a VM."""
         self._answered_s[vm] = now_s
 
     def take_unreported_answers(self) -> tuple[str, ...]:
@@ -62,7 +63,7 @@
         return unreported
 
     def settled_vms(self, now_s: float) -> tuple[str, ...]:
-        """Return VMs whose own order was answered long enough ago."""
+        """Return VMs of own orders for which any leader may send the next."""
         return tuple(
             vm
             for vm, answered_s in self._answered_s.items()
@@ -73,8 +74,8 @@
     def refresh(self, now_s: float) -> None:
         """Process the orders and answers recorded since the last call.
 
-        They are counted from now on although they are older, so that VMs are
-        held for longer, never for less.
+        They are dated at this call although they are older, so that VMs are
+        held for longer than necessary, never for less.
         """
         for vm in self._store.newly_ordered:
             self._recorded_s[vm] = now_s
--- a/src/wigeonreach/core/_vm_orders.py
+++ b/src/wigeonreach/core/_vm_orders.py
@@ -48,11 +48,11 @@
         self._retry_at_s: dict[str, float] = {}
 
     def held_vms(self) -> set[str]:
-        """Return the VMs held for a recent order of an earlier leader."""
+        """Return VMs for which an earlier leader's order is too recent."""
         return self._holds.held_vms(self._began_s, steady_s())
 
     def settled_vms(self) -> tuple[str, ...]:
-        """Return the VMs whose last order was answered long enough ago."""
+        """Return VMs of own orders for which any leader may send the next."""
         settled = self._holds.settled_vms(steady_s())
         return tuple(vm for vm in settled if vm not in self._running)
 
@@ -92,7 +92,7 @@
         order
             Sends the order and returns its result.
         reasons
-            Reasons for the order, logged as fields.
+            Further log fields, such as the reason for the order.
 
         Raises
         ------
@@ -125,6 +125,7 @@
         try:
             await order()
         except StateError as error:
+            # A quorum confirmed neither leadership nor a record of the order.
             self._note_failure(vm, 'confirm', str(error))
 
     def _note_failure(self, vm: str, kind: str, reason: str) -> None:
