--- a/src/wigeonreach/platform/_advisor.py
+++ b/src/wigeonreach/platform/_advisor.py
@@ -1,4 +1,4 @@
-"""Client of the advisor, the service that selects workers for a step."""
+"""Client of the advisor, which determines the workers that may run a step."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
         self._session = PlatformSession(address, _TIMEOUT_S, logger)
 
     async def advise(self, question: Question) -> Advice | None:
-        """Return the tickets for a step, or None if no response arrived."""
+        """Return the tickets for a step, or None without a usable response."""
         if not self._address:
             return None
         job_id, occurrence, step = question.step
--- a/src/wigeonreach/platform/_bodies.py
+++ b/src/wigeonreach/platform/_bodies.py
@@ -18,7 +18,7 @@
 
 
 class UnreadableBodyError(ValueError):
-    """A body can't be decoded; the text names the place of the error."""
+    """A body can't be decoded; the text names the faulty value or its place."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/src/wigeonreach/platform/_client_api.py
+++ b/src/wigeonreach/platform/_client_api.py
@@ -123,7 +123,7 @@
 
 
 def _refusal_of(reply: AnyReply) -> tuple[str, str]:
-    """Return reason and detail of a refusal for the log; empty if accepted."""
+    """Return reason and detail of a reply to log; empty for all others."""
     match reply:
         case NotDone(reason=reason):
             return reason.value, ''
--- a/src/wigeonreach/platform/_control_api.py
+++ b/src/wigeonreach/platform/_control_api.py
@@ -43,8 +43,8 @@
     core
         Answers the calls.
     requires_credentials
-        Whether a manifest without workspaces rejects all clients instead of
-        accepting all.
+        Whether a manifest without workspaces rejects all clients, except those
+        of public queues, instead of accepting all.
     logger, metrics
         Record refused heartbeats.
     """
@@ -76,7 +76,8 @@
             return HttpReply(404, b'{}')
         reply = await self._core.call(call, _TIMEOUT_S)
         if isinstance(reply, Unknown):
-            # The caller retries at another process; calls are idempotent.
+            # Unlike a client, the caller retries at another process whether or
+            # not the call has run; calls are idempotent.
             return HttpReply(_UNAVAILABLE, b'{"error":"outcome-unknown"}')
         return http_reply(reply)
 
--- a/src/wigeonreach/platform/_http.py
+++ b/src/wigeonreach/platform/_http.py
@@ -17,7 +17,7 @@
 _JSON = 'application/json'
 _KEEP_ALIVE_S = 75.0
 _CLOSE_TIMEOUT_S = 0.5
-# Other processes of the zone are available at once.
+# The minimum, as other processes of the zone can serve the retry at once.
 _SHUTDOWN_RETRY_AFTER_S = 1
 
 
@@ -114,7 +114,7 @@
         self._is_keep_alive_disabled = True
 
     async def refuse_when_idle(self, timeout_s: float) -> None:
-        """Wait until no request is in flight, then refuse new ones with 503.
+        """Refuse new requests with 503 once none is in flight or time is up.
 
         The service behind the handler is stopped next; a request accepted
         after that would get no response.
--- a/src/wigeonreach/platform/_jobs.py
+++ b/src/wigeonreach/platform/_jobs.py
@@ -45,7 +45,8 @@
     requirements: str = ''
     # The rack that holds the step's data.
     affinity: str = ''
-    # Maximum number of tasks of one occurrence on the same worker.
+    # Maximum number of tasks of one occurrence on the same worker; 0 for no
+    # limit.
     anti_affinity: NonNegativeInt = 0
     # Whether the tasks save checkpoints.
     checkpointing: bool = False
@@ -56,7 +57,8 @@
     target_ms: NonNegativeInt = 0
     # Whether the tasks only use capacity that others leave idle.
     utilisation: bool = False
-    # How many tasks this system's own actions may interrupt at the same time.
+    # How many tasks this system's own actions may interrupt at the same time;
+    # 0 for no guarantee.
     miss_allowed: NonNegativeInt = 0
 
     def to_step(self) -> StepSpec:
@@ -91,7 +93,7 @@
     phases: tuple[_Phase, ...]
     start_at_ms: NonNegativeInt = 0
     interval_ms: NonNegativeInt = 0
-    # 0 for a job that runs once, immediately.
+    # How many times the job runs; 0 means once, like 1.
     repetitions: NonNegativeInt = 0
 
 
--- a/src/wigeonreach/platform/_machines.py
+++ b/src/wigeonreach/platform/_machines.py
@@ -206,6 +206,7 @@
         return OrderResult.IMPOSSIBLE
     if status == 409:
         reason = decode_body(_REFUSAL_DECODER, body).reason
+        # An unknown reason counts as busy: the order may be sent again.
         return _RESULT_BY_REASON.get(reason, OrderResult.BUSY)
     return OrderResult.UNKNOWN
 
@@ -214,6 +215,7 @@
     return VmRecord(
         vm=machine.machine,
         pool=machine.pool,
+        # A VM in an unknown state counts as down.
         phase=_PHASE_BY_STATE.get(machine.state, VmPhase.DOWN),
         zone=machine.zone,
         rack=rack_of(machine.labels),
--- a/src/wigeonreach/platform/_manifest.py
+++ b/src/wigeonreach/platform/_manifest.py
@@ -37,11 +37,12 @@
     # Fixed part of a job's objective; the platform names it after a latency.
     target_latency_ms: NonNegativeInt = 0
     priority: NonNegativeInt = 0
-    # Number of failed runs of one task after which its job fails.
+    # Number of failed runs, summed over the members of a gang, after which a
+    # task is given up; its job then fails unless it has serving tasks.
     max_attempts: NonNegativeInt = 1
     # Other part of the objective: a multiple of the job's critical path.
     slack_factor: float = 1.0
-    # How the advisor is asked about each step; None if it is not asked.
+    # Timing of the advisor's answers about a step; None if it is not asked.
     recommendation: _Recommendation | None = None
     # Whether calls need no API key.
     public: bool = False
@@ -107,8 +108,8 @@
     body
         Manifest as the operator sent it.
     requires_credentials
-        Whether a manifest without workspaces rejects all clients instead of
-        accepting all.
+        Whether a manifest without workspaces rejects all clients, except those
+        of public queues, instead of accepting all.
 
     Raises
     ------
--- a/src/wigeonreach/platform/_process_parts.py
+++ b/src/wigeonreach/platform/_process_parts.py
@@ -20,8 +20,9 @@
 )
 from wigeonreach.wire import parse_address
 
-# Leaves time for connections that were already on their way when the load
-# balancer stopped routing to this process.
+# Longest wait for requests in flight when a process shuts down.  In an entry
+# process, they include those of connections that were already on their way when
+# the load balancer stopped routing to it.
 DRAIN_TIMEOUT_S = 2.2
 # The file is polled because it may change without a signal.
 _POLL_INTERVAL_S = 2.0
--- a/src/wigeonreach/platform/_replies.py
+++ b/src/wigeonreach/platform/_replies.py
@@ -27,8 +27,8 @@
     WhyNot,
 )
 
-# The platform takes 429 and 503 to mean that the request never runs; 504 leaves
-# that open.
+# For clients, the platform takes 429 and 503 to mean that the request never
+# runs; 504 leaves that open.
 _OVERLOADED = 429
 _UNAVAILABLE = 503
 _OUTCOME_UNKNOWN = 504
--- a/src/wigeonreach/platform/_settings.py
+++ b/src/wigeonreach/platform/_settings.py
@@ -13,8 +13,8 @@
 
 # Environment variable, set by the platform, with the path of the settings file.
 FILE_VARIABLE = 'WIGEONREACH_NODE_FILE'
-# Environment variable with the port on which a process serves its metrics.  The
-# platform does not prescribe it.
+# Optional environment variable with the port on which a process serves its
+# metrics; it is not part of the platform's interface.
 METRICS_VARIABLE = 'WIGEONREACH_METRICS_PORT'
 _DEFAULT_ORDER_PAUSE_MS = 3000
 # The platform's name for the invariants on workspaces and their API keys.
@@ -32,7 +32,7 @@
 
 
 class _Bounds(msgspec.Struct, frozen=True, rename='camel'):
-    # Minimum time between orders of two holders for the same VM; the platform
+    # Minimum time between orders of two leaders for the same VM; the platform
     # names it after a lease.
     lease_ms: int = _DEFAULT_ORDER_PAUSE_MS
     # Downtime of a VM that moves to another pool, which the platform calls a
@@ -86,7 +86,7 @@
 
     @property
     def requires_credentials(self) -> bool:
-        """Whether calls need a credential even if a manifest lists none."""
+        """Whether a manifest without workspaces accepts public calls only."""
         return _WORKSPACE_INVARIANT in self.invariants
 
     @property
--- a/src/wigeonreach/platform/_workers.py
+++ b/src/wigeonreach/platform/_workers.py
@@ -94,7 +94,7 @@
     cold_remaining_ms: _Measurement = 0
     # The VM that the worker runs on.
     machine: str = ''
-    # Minimum time that a draining worker has left.
+    # How long a draining worker stays up at least.
     remaining_ms: _Measurement = 0
     running: tuple[_RunningRow, ...] = ()
     finished: tuple[_EndedRow, ...] = ()
