--- a/src/wigeonreach/jobs/_store.py
+++ b/src/wigeonreach/jobs/_store.py
@@ -372,8 +372,9 @@
     """Assign tasks as far as the caps of their workspaces allow.
 
     The scheduler also checks the caps, but may not have seen the newest records.
-    The cap is checked once for a whole gang, whose starts have to be adjacent;
-    a start that is invalid for another reason is skipped alone.
+    A gang is to start as a whole or not at all, so the cap is checked once for
+    all of its starts, which have to be adjacent.  This covers the cap only: a
+    start that is invalid for another reason is skipped alone.
     """
     groups = itertools.groupby(
         starts,
