--- a/src/wigeonreach/scheduling/_advice.py
+++ b/src/wigeonreach/scheduling/_advice.py
@@ -2,8 +2,9 @@
 
 An external advisor decides which workers may run a step of such a queue.  It
 handles one call at a time and takes time for each worker in the call, so each
-call names only a few workers, is made ahead of need, and its tickets are reused
-for all tasks of the step while they are valid.
+call names only a few workers, is made only if a step has fewer tickets than
+waiting tasks, and its tickets are reused for all tasks of the step while they
+are valid.
 """
 
 from __future__ import annotations
@@ -15,13 +16,15 @@
 from wigeonreach.scheduling._ready import ReadyStep
 from wigeonreach.scheduling._room_left import WorkerRoom
 
-# Limits the workers named in one call.  Each call names more workers than there
-# are tasks, as the advisor may refuse some.
+# Limits the workers named in one call.
 _MAX_WORKERS_PER_CALL = 30
+# Up to that limit a call names more workers than there are tasks, as the
+# advisor may refuse some.
 _WORKERS_PER_TASK = 2
 # A ticket must still be valid when the order arrives, a few heartbeats later.
 _MIN_VALIDITY_S = 0.6
-# Delay after a call that failed or allowed no worker.
+# Delay between the end of a call, even a successful one, and the next call for
+# the same step.
 _RETRY_DELAY_S = 0.5
 
 StepKey = tuple[str, int, int]
--- a/src/wigeonreach/scheduling/_answers.py
+++ b/src/wigeonreach/scheduling/_answers.py
@@ -78,7 +78,7 @@
         incarnation: Incarnation,
         now_s: float,
     ) -> Collection[Run]:
-        """Return the runs that an answer sent now may stop."""
+        """Drop the retracted stops, and return those that may be sent now."""
         if not self._stopping:
             return ()
         review = self._disruption_budget.review(
--- a/src/wigeonreach/scheduling/_backlog.py
+++ b/src/wigeonreach/scheduling/_backlog.py
@@ -60,7 +60,7 @@
     by_rack
         Work of the steps with data on a rack, by rack.
     gang_vms
-        VMs that the widest gang fills, by the label that it needs.
+        Number of VMs that the widest gang fills, by the label that it needs.
     """
 
     vm_s: float = 0.0
--- a/src/wigeonreach/scheduling/_choosing.py
+++ b/src/wigeonreach/scheduling/_choosing.py
@@ -23,8 +23,8 @@
 # A crash beside other tasks does not show its cause, and ends those tasks too.
 _NOT_ISOLATED_COST = 25.0
 _RECENT_CRASH_COST = 8.0
-# A task beside a suspect may be lost with it.  This costs less than running
-# away from the data, since few suspects do cause crashes.
+# A task beside a suspect may be lost with it.  This costs less than running on
+# a rack without the data, since few suspects do cause crashes.
 _BESIDE_SUSPECT_COST = 6.0
 # Keeps tasks without a data rack off racks where waiting tasks have their data.
 _DATA_RACK_COST = 2.0
@@ -38,7 +38,8 @@
 
     Free capacity only shrinks during planning, so a worker that can't take one
     task of a step can't take the others either.  All workers are therefore
-    ranked once per step instead of once per task.
+    ranked once per step instead of once per task, except for serving tasks and
+    tasks that ran before: their costs differ from task to task.
 
     Parameters
     ----------
--- a/src/wigeonreach/scheduling/_crashes.py
+++ b/src/wigeonreach/scheduling/_crashes.py
@@ -8,7 +8,8 @@
 worker's runs only if a new worker appears on the VM afterwards (a partitioned
 worker returns as the same incarnation), if no order for the VM explains it, and
 if the rack or zone did not fail with it.  A start that the worker never listed
-counts in each of these cases.
+counts as uncertain evidence even if one of these conditions fails, unless the
+same incarnation returns.
 """
 
 from __future__ import annotations
@@ -38,13 +39,15 @@
 
 _MS_PER_S = 1000
 _NEVER_S = float('-inf')
-# How long a loss may wait for its explanation.  A VM was observed to have a new
-# worker 3.2 s after a crash; outages of racks are shorter than this limit too.
+# How long a loss may wait for a new worker on its VM; after that it counts as
+# explained.  A VM was observed to have a new worker 3.2 s after a crash;
+# outages of racks are shorter than this limit too.
 _SETTLE_WITHIN_S = 30.0
-# How long an unexplained loss counts against a task.  Without it, a task whose
-# workers return late would be started too often in the meantime.
+# How long an unexplained loss counts against a task.  If it did not count, a
+# task whose workers return late would be started too often in the meantime.
 _UNEXPLAINED_COUNTS_S = 15.0
-# All running workers are heard within this time after a term begins.
+# Running workers that are not cut off are heard within this time after a term
+# begins.
 _FIRST_HEARTBEATS_S = 1.5
 # A VM that lost its worker within this time may itself be the cause.
 _RECENT_CRASH_S = 20.0
@@ -89,14 +92,15 @@
         # When each task was lost last; earlier losses precede the term.
         self._task_lost_s: dict[TaskKey, float] = {}
         self._began_s = now_s
-        # When each VM lost a worker last, and when it did so unprovoked, that
-        # is without a recent start on it.
+        # When each VM last lost a worker, and when it last lost one on which no
+        # run had just begun.
         self._vm_crashed_s: dict[str, float] = {}
         self._vm_unprovoked_s: dict[str, float] = {}
         # When the newest worker of each VM was first heard, and its name.
         self._newest_worker: dict[str, tuple[float, str]] = {}
         # When each worker was last ordered to end, by worker, or by VM if its
-        # worker was not known.  Orders of former leaders come first.
+        # worker was not known.  The time of a former leader's order is unknown;
+        # it is taken to be the time by which all running workers are heard.
         self._inherited_orders = frozenset(
             order.worker or vm for vm, order in store.vm_orders.items()
         )
@@ -119,7 +123,8 @@
     def note_vm_ordered(self, vm: str, worker: str, now_s: float) -> None:
         """Record that an order is about to end a VM's worker.
 
-        It does not explain the loss of earlier workers of the VM.
+        The order may explain the loss of this worker only or, if none is
+        known, the loss of any worker on the VM.
 
         Parameters
         ----------
@@ -143,7 +148,7 @@
         runs: Iterable[Run],
         now_s: float,
     ) -> None:
-        """Record that runs are given up because their worker fell silent.
+        """Record that runs are given up as their worker is silent or ended.
 
         Parameters
         ----------
@@ -218,7 +223,7 @@
             self._unrecorded.pop((crashed.task, crashed.run), None)
 
     def has_crashed_lately(self, vm: str, now_s: float) -> bool:
-        """Whether a VM recently lost a worker to itself or to its runs."""
+        """Whether a VM recently lost a worker by its own fault or by a run."""
         return now_s - self._vm_crashed_s.get(vm, _NEVER_S) < _RECENT_CRASH_S
 
     def suspects(self, now_s: float) -> Suspects:
@@ -333,7 +338,8 @@
         """Return the upper limit of the evidence that a crash provides."""
         joined_s, _ = self._newest_worker[loss.vm]
         if joined_s - loss.heard_s >= LEASE_MS / _MS_PER_S:
-            # A partition may have ended the runs by their lease before.
+            # A partition may have lasted longer than the lease and ended the
+            # runs before the worker went down.
             return CrashEvidence.UNCERTAIN
         if (
             correlation.coincides_with_unprovoked(loss)
@@ -363,6 +369,7 @@
             return
         joined_s, _ = self._newest_worker[loss.vm]
         if loss.heard_s < self._last_order_s(loss.worker, loss.vm) < joined_s:
+            # The platform was told to move or maintain the VM.
             self._add_note(loss, 'its VM was ordered while it was silent')
             self._mark_explained(loss)
             self._mark_starts_uncertain(loss)
--- a/src/wigeonreach/scheduling/_ends.py
+++ b/src/wigeonreach/scheduling/_ends.py
@@ -56,7 +56,7 @@
         )
 
     def withdrawn(self, incarnation: Incarnation) -> tuple[RunEnded, ...]:
-        """Return the runs that are withdrawn before they begin on a worker."""
+        """Return the runs, not listed by a worker, that are withdrawn."""
         unlisted = tuple(unlisted_runs(incarnation, self._store))
         incarnation.unlisted_starts.intersection_update(unlisted)
         forbidden = {
--- a/src/wigeonreach/scheduling/_evidence.py
+++ b/src/wigeonreach/scheduling/_evidence.py
@@ -8,8 +8,8 @@
 from wigeonreach.jobs import CrashEvidence, Run
 
 # A task that crashes its worker does so when it starts.  A run that had been
-# running for this long was not the cause; it is several times what heartbeats
-# need to report a start.
+# running for this long was not the cause; this time is several times what
+# heartbeats need to report a start.
 SOUND_S = 10.0
 # A run counts as just begun for this long after it was first listed: four
 # heartbeats of a busy worker.
@@ -51,8 +51,9 @@
 def evidence_of(runs: Mapping[Run, LostRun]) -> dict[Run, CrashEvidence]:
     """Return the evidence of a worker's crash against each of its runs."""
     unsound = [lost for lost in runs.values() if not lost.is_sound]
-    # For a run that was never listed, the only other possible causes are starts
-    # and tasks with earlier crashes.
+    # A task that crashes its worker does so when it starts.  Beside a run that
+    # was never listed, only other starts and tasks with earlier crashes are
+    # therefore suspected.
     start_suspects = {
         lost.job_id for lost in unsound if lost.has_just_begun or lost.crashes
     }
--- a/src/wigeonreach/scheduling/_incarnation.py
+++ b/src/wigeonreach/scheduling/_incarnation.py
@@ -30,9 +30,9 @@
 # comes within 0.8 s of an answered one, even if the answer was held back, and
 # after 1 s of an unanswered one.
 _MAX_ANSWERED_GAP_S = 0.9
-# How long after a worker's first heartbeat of a term one may arrive that a
-# former leader answered: it times out after 1 s at its sender, and after 0.9 s
-# at the process that forwards it.
+# A heartbeat that a former leader has answered may reach this leader until this
+# long after the worker's first heartbeat of the term: a heartbeat times out
+# after 1 s at its sender, and after 0.9 s at the process that forwards it.
 _FORMER_ANSWERS_S = 2.0
 # An order for a VM ends everything on it at once.  A worker that is heard this
 # long after the confirmation was not ended by it.
@@ -110,7 +110,7 @@
 
     @property
     def lease_over_s(self) -> float:
-        """When the end of its lease has certainly ended all of its runs."""
+        """Time from which none of its runs can go on, as its lease is over."""
         return self.heard_s + LEASE_OVER_S
 
     @property
@@ -126,7 +126,7 @@
 
     @property
     def is_proven_alive(self) -> bool:
-        """Whether it is certainly alive, if that was in doubt.
+        """Whether it has proved that it is alive, or never had to.
 
         A single late heartbeat of a worker that has ended proves nothing.
         """
@@ -135,9 +135,9 @@
     def has_not_begun(self, run: Run) -> bool:
         """Whether an unlisted run has certainly not begun.
 
-        A former leader may have answered the same heartbeat with starts before
-        it reached this leader.  Withdrawing the runs that it does not list
-        would then start them twice.
+        A former leader may have answered the newest heartbeat with starts
+        before the heartbeat reached this leader.  If this leader withdrew runs
+        that the heartbeat does not list, they could be started twice.
         """
         heard_for_s = self.heard_s - self.first_heard_s
         return run in self.unlisted_starts or heard_for_s >= _FORMER_ANSWERS_S
--- a/src/wigeonreach/scheduling/_locality.py
+++ b/src/wigeonreach/scheduling/_locality.py
@@ -3,8 +3,9 @@
 Many jobs may want the same rack at once.  Away from its data a task takes
 several times as long and occupies a worker all that time, while capacity near
 the data is often free within a fraction of it.  A task therefore waits until it
-has lost as much time as running remotely would cost, and then runs anywhere.
-So it never takes more than twice as long as the better of the two choices.
+has lost as much time as a remote run would take in addition, and then runs
+anywhere.  So it never takes more than twice as long as the better of the two
+choices.
 """
 
 from __future__ import annotations
@@ -124,7 +125,7 @@
 
 
 def _could_ever_fit(step: ReadyStep, rooms: Iterable[WorkerRoom]) -> bool:
-    """Whether a step would fit on the workers if they were empty."""
+    """Whether the empty workers would fit a gang, or else a single task."""
     spec = step.spec
     missing = len(step.waiting) if spec.is_gang else 1
     for room in rooms:
--- a/src/wigeonreach/scheduling/_losses.py
+++ b/src/wigeonreach/scheduling/_losses.py
@@ -11,7 +11,8 @@
 from wigeonreach.scheduling._incarnation import Incarnation
 
 # Greatest difference between the last heartbeats of workers that fail together:
-# the interval of an idle worker (0.7 s) and a heartbeat that timed out (0.8 s).
+# the interval of an idle worker (0.7 s) and 0.8 s for a heartbeat that timed
+# out.
 _SAME_OUTAGE_S = 1.5
 # Greatest difference if no heartbeat timed out: if two workers fail at the same
 # moment, even an idle one was heard this shortly before.
@@ -35,7 +36,8 @@
     runs
         Its runs, with the evidence that its crash would provide against each.
     at_start
-        The runs that it was told to start when it was last heard.
+        The runs that it was told to start and had not listed when it was last
+        heard; all of its runs if it was not heard in this term.
     is_provoked
         Whether a run had just begun on it that may have crashed it.
     """
@@ -58,17 +60,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DomainLoss:
-    """A rack or zone that has no survivor of the time when a worker was lost.
+    """A rack or zone whose workers were all lost at about the same time.
 
     Attributes
     ----------
     name
         The rack or zone.
     is_conclusive
-        Whether the failure of the rack or zone is proved: an unprovoked worker
-        was lost with it, or several workers of more than one service.  Tasks of
-        a queue that crash their workers one by one don't look like this.
-        Otherwise such tasks may still be the cause.
+        Whether the failure of the rack or zone is proved: at the same time it
+        lost another worker on which no run had just begun, or several others,
+        and they are of more than one service in all.  Tasks of a queue that
+        crash their workers one by one don't look like this.  Otherwise such
+        tasks may still be the cause.
     """
 
     name: str
@@ -129,7 +132,8 @@
     def coincides_with_unprovoked(self, loss: WorkerLoss) -> bool:
         """Whether an unprovoked worker was lost at the same moment.
 
-        If workers fail by themselves at that moment, this may be one of them.
+        No run had just begun on that worker, so it failed by itself.  This one
+        may have done so too, and its loss is only weak evidence.
         """
         heard_s = self._unprovoked_heard_s
         first = bisect.bisect_left(heard_s, loss.heard_s - _SAME_MOMENT_S)
--- a/src/wigeonreach/scheduling/_lost_runs.py
+++ b/src/wigeonreach/scheduling/_lost_runs.py
@@ -78,7 +78,7 @@
         )
 
     def to_be_copied(self, now_s: float) -> tuple[RunEnded, ...]:
-        """Return the runs of silent workers that may be copied elsewhere."""
+        """Return runs of silent workers as lost, so that copies may start."""
         if not self._has_listened_long(now_s):
             return ()
         incarnations = self._workers.incarnations
--- a/src/wigeonreach/scheduling/_maintenance.py
+++ b/src/wigeonreach/scheduling/_maintenance.py
@@ -19,9 +19,9 @@
 from wigeonreach.scheduling._workers import Workers
 from wigeonreach.wire._worker_messages import worker_id_of
 
-# Batch tasks last about a second.  A run that lasts longer than this is
-# stopped, as its VM takes up one of the few that the wave may have down at
-# once.
+# Batch tasks last about a second.  A batch run that goes on for longer than
+# this after emptying began is stopped, as its VM takes up one of the few that
+# the wave may have down at once.
 _BATCH_GRACE_S = 3.0
 # Time from the choice of a VM until it counts as back: emptying, 2 s of
 # maintenance, and up to a second until its worker or the list shows it.  With
@@ -87,7 +87,7 @@
         self._workers = workers
         self._disruption_budget = disruption_budget
         self._vms: dict[str, VmRecord] = {}
-        # By wave and VM: since when it is emptied, until its order is recorded.
+        # By wave and VM: when emptying began; kept until the order is recorded.
         self._emptied_since_s: dict[tuple[int, str], float] = {}
         self._confirmed_s: dict[tuple[int, str], float] = {}
         self._listed_s = float('-inf')
@@ -204,7 +204,7 @@
             found.stops.extend(self._batch_runs(incarnation))
 
     def _start_emptying(self, held: Collection[str], now_s: float) -> None:
-        """Start emptying idle VMs up to the limit, others as time requires."""
+        """Start emptying idle VMs up to the limit, busy ones to end in time."""
         for wave in self._store.waves.values():
             for vm in self._candidates(wave, held, now_s):
                 if not self._is_within_limit(wave, vm, now_s):
--- a/src/wigeonreach/scheduling/_moving_out.py
+++ b/src/wigeonreach/scheduling/_moving_out.py
@@ -1,9 +1,9 @@
 """Limit how many tasks of a serving step are unavailable at the same time.
 
 Maintenance waves, drains, runs without progress and changes of leader may all
-stop serving runs at the same moment.  Each of them asks here, both when it
-decides on a stop and whenever it is sent to a worker, so that no two of them
-rely on the same task.  A task that may be unavailable already counts as
+stop serving runs at the same moment.  Each stop is checked here twice, when it
+is decided and whenever it is about to be sent to a worker, so that no two of
+them rely on the same task.  A task that may be unavailable already counts as
 unavailable.
 """
 
@@ -33,8 +33,8 @@
 _END_REPORT_DELAY_S = 0.1
 # Busy workers send heartbeats about this often, so reports are rarely younger.
 _MIN_REPORT_AGE_S = 0.3
-# A serving task that does not serve this long after its start never will, even
-# on a worker that is several times slower than others.
+# A serving run that does not serve this long after it was first listed is taken
+# never to serve, even on a worker that is several times slower than others.
 _STARTUP_TIMEOUT_S = 8.0
 
 
@@ -96,9 +96,10 @@
         self._stop_settles_s = (
             _ANSWER_TIMEOUT_S + settings.stop_s + _END_REPORT_DELAY_S
         )
-        # Greatest age of a heartbeat that shows a task as serving.  If the task
-        # failed right after it, a stop that relied on it must arrive before the
-        # failed task counts as unavailable.
+        # Greatest age of a heartbeat that shows a task as serving.  The task
+        # may have failed right after the heartbeat.  A stop of another task
+        # that relies on the heartbeat must arrive before the failed task counts
+        # as unavailable.
         max_age_s = min(SILENT_AFTER_S, settings.notice_s - _ANSWER_TIMEOUT_S)
         self._max_report_age_s = max(max_age_s, _MIN_REPORT_AGE_S)
         # When the stop of each run was last put into an answer.
--- a/src/wigeonreach/scheduling/_orders.py
+++ b/src/wigeonreach/scheduling/_orders.py
@@ -24,7 +24,8 @@
 # the shortest objective (3 s), and 4 heartbeats a second from 40 workers take
 # about a tenth of a core.
 BUSY_INTERVAL_MS = 250
-# Interval after an answer that was held back until there were orders.
+# Interval after an answer without orders to a worker without batch runs.  Such
+# an answer is usually held back, so the next heartbeat may follow soon.
 HELD_INTERVAL_MS = 20
 # A heartbeat times out after 1 s; the rest is left for the way back.
 _MAX_HOLD_S = 0.7
@@ -131,8 +132,8 @@
 def is_over_cap(key: TaskKey, store: JobStore) -> bool:
     """Whether a run that has not begun would exceed its workspace's cap.
 
-    A cap may be lowered between the record of a start and its order.  The
-    members of a gang that have begun are stopped in that case.
+    A cap may be lowered between the record of a start and its order.  The run
+    is then withdrawn, and the other members of its gang are stopped.
     """
     job = store.job_of(key)
     spec = store.spec_of(key)
@@ -153,6 +154,8 @@
         return 'it was given up or replaced by another run'
     if incarnation.report.is_draining:
         return 'its worker is draining'
+    # All other causes: preemption for a serving task, a move to a faster
+    # worker, a gang that lost a member, a maintenance wave, or no progress.
     return 'its VM is needed, or it makes no progress'
 
 
--- a/src/wigeonreach/scheduling/_pacing.py
+++ b/src/wigeonreach/scheduling/_pacing.py
@@ -64,6 +64,7 @@
         new_pace = self._paces.get(worker, FULL_PACE)
         if new_pace == pace:
             return ''
+        # The ratio is the worst tail latency as a share of its latency target.
         return f'{pace} to {new_pace} percent, tail at {ratio:.2f} of target'
 
 
--- a/src/wigeonreach/scheduling/_placing.py
+++ b/src/wigeonreach/scheduling/_placing.py
@@ -111,8 +111,8 @@
     def _reserve_trial_workers(self, steps: Iterable[ReadyStep]) -> None:
         """Reserve workers for the tasks that have to run alone.
 
-        Tasks with the fewest crashes come first, as most sound tasks are among
-        them.
+        Tasks with the fewest crashes come first: most of the tasks that do not
+        cause crashes are among them.
         """
         if not self._suspects.may_wait:
             return
@@ -256,7 +256,7 @@
         return task is not None and self._suspects.must_wait(key, task)
 
     def _isolation_of(self, step: ReadyStep, key: TaskKey) -> Apart:
-        """Return a task's isolation; serving tasks are never held back."""
+        """Return a task's isolation; serving tasks are never isolated."""
         task = step.job.task(key)
         if task is None or step.spec.is_service:
             return Apart.FROM_NOTHING
--- a/src/wigeonreach/scheduling/_preempting.py
+++ b/src/wigeonreach/scheduling/_preempting.py
@@ -25,8 +25,9 @@
     stops
         Batch runs to be stopped.
     homeless
-        Number of VMs needed by the tasks that preemption can't help, by
-        service and label.
+        Number of VMs needed by the steps that preemption can't help, by service
+        and label.  All waiting tasks of such a step count, also those that the
+        plan has just placed.
     """
 
     stops: set[Run] = dataclasses.field(default_factory=set)
@@ -52,7 +53,8 @@
     Parameters
     ----------
     unplaced
-        Steps with tasks that fit on no worker.
+        Steps with tasks that were not placed.  Not all of these tasks lack
+        room: some wait, for instance to be isolated.
     rooms
         The workers that accept tasks, by service.
     store
--- a/src/wigeonreach/scheduling/_progress.py
+++ b/src/wigeonreach/scheduling/_progress.py
@@ -2,7 +2,7 @@
 
 A worker may look healthy while its runs stall or take several times as long.
 Such runs decide when a step ends, so they are stopped early and restarted
-elsewhere, and the worker is chosen last.  The members of a gang end together,
+elsewhere, and the worker is avoided.  The members of a gang end together,
 so a finished member shows no progress until the slowest one is done: a gang is
 stalled only if none of its members makes progress.
 """
@@ -26,8 +26,9 @@
 _STALLED_S = 1.5
 # Share of the estimate; a long task takes a while to advance by a percent.
 _STALLED_RATIO = 0.05
-# A new worker may take as long to warm up as it declares; a serving task that
-# is not working after this time never will.
+# A new worker needs time to warm up, so a serving run counts as stalled only if
+# it does not serve this long after it was first listed.  The warm-up time that
+# the worker declares is not used here.
 _START_TIMEOUT_S = 4.0
 _COMPLETE_PERCENT = 100
 # A stop is ordered with the next heartbeat, takes up to 0.4 s and is reported
@@ -35,7 +36,8 @@
 _RESTART_S = 0.8
 # The run time elsewhere is an estimate, so the gain has to be large.
 _MIN_GAIN_RATIO = 1.3
-# Only a first run is moved, as the worker may not have been the cause.
+# Only a task's first run is moved: if its next run is slow too, the worker may
+# not have been the cause.
 _FIRST_RUN = 1
 
 
--- a/src/wigeonreach/scheduling/_ready.py
+++ b/src/wigeonreach/scheduling/_ready.py
@@ -1,9 +1,11 @@
 """Find the steps that may start, and sort them by priority.
 
 Load comes in short peaks: for some seconds a queue asks for several times
-what its pool can run, and for little in between.  Steps that can still finish
-within their objective go first, by least laxity.  Steps that can't, and those
-deferred in favor of others, follow in the order of their remaining work.
+what its pool can run, and for little in between.  Serving steps go first.  Of
+the others, steps that can still finish within their objective precede those
+that can't and those deferred in favor of others.  Each of these groups is
+sorted by the priority of the queue, then by least laxity or, for late and
+deferred steps, by the remaining work of the occurrence.
 """
 
 from __future__ import annotations
@@ -94,7 +96,8 @@
     Attributes
     ----------
     notes
-        First deferrals of jobs that are still to be logged.
+        Notes on deferred occurrences that are still to be logged.  There is one
+        note per occurrence, even if it is deferred again.
     """
 
     def __init__(self) -> None:
@@ -110,7 +113,7 @@
         self.notes: list[Note] = []
 
     def work(self, now_s: float) -> dict[str, list[StepWork]]:
-        """Return each service's unfinished work, without later occurrences."""
+        """Return each service's work that may begin within the lookahead."""
         return {
             service: [
                 step
@@ -273,8 +276,8 @@
         for service in self._pending:
             available = processors.get(service, 0)
             startable = list(self._startable_by(service, now_s))
-            # An occurrence that its cap already makes late takes no
-            # processors from the others.
+            # An occurrence that is deferred by its workspace's cap is left out
+            # when the processors of the pool are shared out.
             competing = [
                 occurrence
                 for occurrence in startable
@@ -387,9 +390,9 @@
 def max_tasks_per_worker(step: StepSpec) -> int:
     """Return how many serving tasks of a step should share a worker.
 
-    Two workers are enough for a step to survive the loss of one.  Spreading
-    five tasks over a third worker would keep one more VM of each pool from
-    moving.
+    Two workers are enough for a step to survive the loss of one.  If five
+    tasks, say, were spread over three workers, one more VM of each pool could
+    not move.
     """
     half = math.ceil(step.count / 2)
     return min(step.spread_limit, half) if step.spread_limit else half
--- a/src/wigeonreach/scheduling/_room_cache.py
+++ b/src/wigeonreach/scheduling/_room_cache.py
@@ -23,7 +23,7 @@
     store
         The replicated state, which tells what runs where.
     progress
-        Tells how long runs have been going on.
+        Tells how long runs have been listed in this term.
     """
 
     def __init__(self, store: JobStore, progress: ProgressWatch) -> None:
@@ -43,8 +43,8 @@
     ) -> WorkerRoom:
         """Return a worker's free capacity beside everything it may run.
 
-        A caller that places unrecorded tasks on the returned object has to
-        call ``forget`` afterwards.
+        The returned object is the cached one: a caller that places unrecorded
+        tasks on it has to call ``forget`` afterwards.
         """
         self._forget_reassigned()
         worker = incarnation.report.worker
--- a/src/wigeonreach/scheduling/_room_left.py
+++ b/src/wigeonreach/scheduling/_room_left.py
@@ -31,13 +31,14 @@
         Some serving task on it has a latency target, which other tasks on the
         worker may violate.
     is_reserved
-        Batch runs on it are being stopped for a serving task.
+        Some run on it is being stopped; only serving tasks may be placed.
     is_slow
         Its runs take much longer than on other workers, or are paced.
     has_local_demand
         Some waiting task has its data on the worker's rack.
     suspects
-        Jobs of tasks on it whose workers crashed before.
+        Jobs with a task on it against which the loss of an earlier worker
+        counts.
     trial_job
         Job of a task that has to run alone, as two of its workers crashed.
     is_closed
@@ -80,8 +81,8 @@
         if self.is_reserved and not spec.is_service:
             return False
         if self.is_closed and key.job_id != self.trial_job:
-            # Users wait for serving tasks, so for these a closed worker is not
-            # excluded but only costs more.
+            # Users wait for serving tasks, so a closed worker is not excluded
+            # for these, though it may cost more.
             return spec.is_service and self._has_room(key, spec)
         return self._has_room(key, spec)
 
@@ -150,7 +151,8 @@
         if progress.worked_s((key, run), incarnation.heard_s) < SOUND_S:
             room.add_suspect(key.job_id, task.crash_count)
     for row in incarnation.running:
-        # A run that is being stopped uses capacity until its end is reported.
+        # A run that is no longer assigned to the worker still uses capacity
+        # until the worker reports its end.
         if row.task not in held:
             _add_known(room, row.task, store)
     return room
--- a/src/wigeonreach/scheduling/_scheduler.py
+++ b/src/wigeonreach/scheduling/_scheduler.py
@@ -181,12 +181,13 @@
             self._add_note(LogEvent.WORKER_RESIZED, incarnation, has)
 
     def is_foreign(self, report: WorkerReport) -> bool:
-        """Whether a heartbeat can't come from a worker of this fleet.
+        """Whether a heartbeat can't be attributed to a worker of this fleet.
 
-        This is so if its service is not in the manifest and no run is assigned
-        to its worker, if its service differs from the one before, as an
-        incarnation never changes its service, or if it lacks the start time
-        that other heartbeats of its id include.
+        An incarnation never changes its service, so a heartbeat of a known one
+        is foreign if its service differs from the one before.  A heartbeat of
+        an unknown one is foreign if it lacks the start time that others of its
+        id include, or if its service is not in the manifest and no run is
+        assigned to its worker.
         """
         known = self.workers.incarnations.get(report.worker)
         if known is not None:
@@ -251,7 +252,8 @@
         self.stopping.update(made.stops)
         self._unplaced_vms = made.homeless
         for start in plan.starts:
-            # It is not certain yet that the start will be recorded.
+            # The cached capacity already lacks the room of this start, which
+            # may never be recorded.
             self._rooms.forget(start.worker)
             self.workers.incarnations[start.worker].unlisted_starts.add(
                 (start.task, start.run),
--- a/src/wigeonreach/scheduling/_second_runs.py
+++ b/src/wigeonreach/scheduling/_second_runs.py
@@ -62,8 +62,9 @@
 ) -> Iterator[tuple[Incarnation, Run]]:
     """Yield the runs of silent workers that may get a speculative copy.
 
-    A task that may have crashed a worker gets no copy: copies would crash three
-    workers in the time in which it would otherwise crash one.
+    A task that may have crashed a worker gets no copy.  Each copy is made
+    before the lease of the crashed worker is over, so copies would crash three
+    workers in the time in which the task would otherwise crash one.
     """
     for worker, incarnation in incarnations.items():
         if not incarnation.is_silent(now_s):
--- a/src/wigeonreach/scheduling/_send_time.py
+++ b/src/wigeonreach/scheduling/_send_time.py
@@ -33,7 +33,8 @@
         if clock_ms is None:
             return heard_s
         behind_s = heard_s - clock_ms / _MS_PER_S
-        # A slow clock falls behind although no heartbeat is late.
+        # If the worker's clock is slow, the offset grows although no heartbeat
+        # is late.  The smallest offset may therefore grow by the drift.
         drifted_s = self._min_offset_s + _MAX_DRIFT_RATIO * (
             heard_s - self._last_heard_s
         )
--- a/src/wigeonreach/scheduling/_speeds.py
+++ b/src/wigeonreach/scheduling/_speeds.py
@@ -15,14 +15,14 @@
 # Weight of the newest heartbeat in the moving average of a worker's speed; a
 # change shows after three heartbeats.
 _NEWEST_WEIGHT = 0.5
-# Task sizes differ by half and estimates by more, so only a much slower worker
-# can be told from chance.
+# Task sizes vary by half, and estimates are wrong by more, so only a much
+# slower worker can be told from chance.
 _SLOW_RATIO = 2.5
 # Lower bound of a speed when a slowdown factor is computed; a worker below it
 # makes no progress at all.
 _MIN_RATIO = 0.01
-# Progress samples needed before a worker's speed counts; also the number of
-# workers needed for a comparison.
+# Minimum number of progress samples before a worker's speed counts, and of
+# workers with such a speed before they are compared.
 _MIN_SAMPLES = 3
 # Older speeds say nothing about a worker's current speed.
 _MAX_SPEED_AGE_S = 3.0
--- a/src/wigeonreach/scheduling/_stops.py
+++ b/src/wigeonreach/scheduling/_stops.py
@@ -26,7 +26,7 @@
 
 
 class RunStops:
-    """Stops runs that stall, straggle, or wait for a lost member of their gang.
+    """Stops stalled runs, stragglers, and gangs with a run that did not finish.
 
     Parameters
     ----------
@@ -131,6 +131,7 @@
             runs = set(straggler.runs) - self._stopping
             if runs:
                 self._stopping.update(runs)
+                # Compared with the other workers of the service.
                 times = f'{straggler.slower_times:.1f} times as long'
                 why = f'{len(runs)} runs, {times}'
                 self._notes.append(
--- a/src/wigeonreach/scheduling/_suspects.py
+++ b/src/wigeonreach/scheduling/_suspects.py
@@ -9,8 +9,8 @@
 
 from wigeonreach.jobs import TaskKey, TaskRecord
 
-# A task with this many crashes, unsettled ones included, is not started until
-# its unexplained losses are settled, as another start may be one too many.
+# A task with this many crashes, unsettled ones included, is not started while
+# any of its losses is unexplained, as another start may be one too many.
 _MAX_UNSETTLED_CRASHES = 3
 # One of two crashes may be a coincidence.  After two a task runs alone, so
 # that a third one is conclusive and affects nothing else.
--- a/src/wigeonreach/scheduling/_triage.py
+++ b/src/wigeonreach/scheduling/_triage.py
@@ -70,14 +70,15 @@
     processors: float,
     now_s: float,
 ) -> set[OccurrenceId]:
-    """Return the occurrences to be deferred in favor of the others.
+    """Return the occurrences that will be late, or give way to others.
 
     Parameters
     ----------
     jobs
-        All unfinished occurrences of a pool.
+        Unfinished occurrences that share the processors.
     processors
-        Processors that the pool has now.
+        Processors that they may use now: those of the pool, or those within
+        the cap of their workspace.
     now_s
         Clock in seconds.
     """
--- a/src/wigeonreach/scheduling/_vm_incarnations.py
+++ b/src/wigeonreach/scheduling/_vm_incarnations.py
@@ -65,10 +65,11 @@
             yield from self._by_vm[vm]
 
     def mark_rivals_unproven(self, newcomer: Incarnation, now_s: float) -> None:
-        """Mark all incarnations that are heard on a VM as unproven.
+        """Mark a newcomer and the incarnations heard on its VM as unproven.
 
-        The newcomer may be the one that has ended: to a new leader a late
-        heartbeat of an ended incarnation looks like the first one of the next.
+        Any of them may be the one that has ended: to a new leader, a late
+        heartbeat of an ended incarnation looks like the first one of its
+        successor.  If all others on the VM are silent, none is marked.
         """
         on_vm = self._by_vm.get(newcomer.report.vm, {})
         rivals = [
--- a/src/wigeonreach/scheduling/_vms.py
+++ b/src/wigeonreach/scheduling/_vms.py
@@ -7,8 +7,8 @@
 from typing import Protocol
 
 
-# Time from the record of an order until its outcome is decided: the leader is
-# confirmed first, and the call to the platform times out after 2 s.
+# An order can't be carried out any more this long after its record: the leader
+# is confirmed first, and the call to the platform times out after 2 s.
 ORDER_LASTS_S = 3.0
 
 
@@ -67,8 +67,8 @@
 class VmApi(Protocol):
     """The platform's operations on VMs.
 
-    Each order includes its sender and a fence, and ends everything that runs on
-    the VM at once.
+    Each order includes a fence, to which the implementation adds the sender,
+    and ends everything that runs on the VM at once.
     """
 
     async def list_vms(self) -> tuple[VmRecord, ...] | None:
--- a/src/wigeonreach/scheduling/_workers.py
+++ b/src/wigeonreach/scheduling/_workers.py
@@ -23,9 +23,9 @@
 class Workers:
     """All incarnations heard in this term.
 
-    The cost of a cycle does not grow with the fleet: a lease is checked only
-    when it may have expired, and a successor is looked for only on VMs with
-    several incarnations.
+    The cost of finding ended incarnations does not grow with the fleet: a lease
+    is checked only when it may have expired, and a successor is looked for only
+    on VMs with several incarnations.
 
     Parameters
     ----------
@@ -121,8 +121,9 @@
     def note_ordered(self, worker: str, now_s: float) -> None:
         """Record that an order for a worker's VM was confirmed.
 
-        The worker gets no new work until it is heard a while later.  The
-        platform also confirms orders that it carried out long before.
+        The worker gets no new work until it is heard a while later, which shows
+        that this order did not end it: the platform also confirms orders that
+        it carried out long before.
         """
         known = self.incarnations.get(worker)
         if known is not None:
@@ -161,7 +162,7 @@
         return worker in self.incarnations or self.is_gone(worker)
 
     def has_heard_all(self, now_s: float) -> bool:
-        """Whether every worker that may have runs was heard in this term."""
+        """Whether workers not yet heard in this term have no runs left."""
         return now_s >= self._began_s + LEASE_OVER_S
 
     def processors(self, now_s: float) -> dict[str, float]:
--- a/src/wigeonreach/scheduling/pooling/_demand.py
+++ b/src/wigeonreach/scheduling/pooling/_demand.py
@@ -13,8 +13,8 @@
 import math
 
 # Time constant of the decaying arrival rate.  Several jobs a second arrive
-# during a peak, so it covers a few of them, and a burst of some seconds is
-# recognized before a quarter of it has passed.
+# during a peak, so this time covers a few of them, and a burst of some seconds
+# is recognized before a quarter of it has passed.
 _RATE_TIME_CONSTANT_S = 0.8
 # Number of jobs that the moving average of the work per job covers.
 _JOBS_IN_MEAN = 30
--- a/src/wigeonreach/scheduling/pooling/_pool_needs.py
+++ b/src/wigeonreach/scheduling/pooling/_pool_needs.py
@@ -10,8 +10,8 @@
 from wigeonreach.scheduling._backlog import ANY_LABEL, Backlog
 
 # Time within which the work of a pool should be finished.  Results are of full
-# use for about 5 s and a VM ordered now works after 2 s, so a move pays off for
-# work within this horizon.
+# use for about 5 s, and a VM ordered now works after 2 s, so a move still pays
+# off for work that is to be finished within this time.
 WORK_HORIZON_S = 4.0
 # Share of a pool's capacity that can be used; the rest is lost to packing.
 _USABLE_RATIO = 0.85
@@ -83,7 +83,8 @@
         Current size of the pool.
     is_far_slow
         Whether tasks take longer away from their data.  If so, each rack with
-        data gets a VM: a job that waits for one, or runs remotely, is late.
+        data gets as many VMs as its work needs: a job that waits for one, or
+        runs remotely, is late.
     """
     unmet_vms = serving.unmet_vms.get(service, _NONE)
     by_label = {
--- a/src/wigeonreach/scheduling/pooling/_pool_vms.py
+++ b/src/wigeonreach/scheduling/pooling/_pool_vms.py
@@ -94,7 +94,7 @@
         return [vm for vm, (to, _) in self._incoming.items() if to == pool]
 
     def incoming_racks(self) -> set[tuple[str, str]]:
-        """Return the pools and racks of the VMs that are moving."""
+        """Return the pools and labels of moving VMs; racks are labels too."""
         return {
             (pool, label)
             for vm, (pool, _) in self._incoming.items()
--- a/src/wigeonreach/scheduling/pooling/_pools.py
+++ b/src/wigeonreach/scheduling/pooling/_pools.py
@@ -3,8 +3,8 @@
 Demand comes in bursts of some seconds: one pool may need more than its workers
 can run while others are nearly idle, or need a label that none of its workers
 has.  VMs come from pools with a surplus, or from the standby pool, where they
-cost nothing, and return to it once they are idle.  A VM is emptied before it
-moves; one with serving tasks stays.
+cost nothing, and return to it once they are idle.  Only empty VMs are chosen,
+so one with serving tasks stays; a chosen VM gets no new tasks until it moves.
 """
 
 from __future__ import annotations
@@ -401,5 +401,6 @@
 
 
 def _move_reason(pool: PoolState, have: int, label: str) -> str:
+    # Both numbers are totals of the pool, also if a label is what it lacks.
     with_label = f' with {label}' if label else ''
     return f'{pool.name} needs {pool.required.total}{with_label}, has {have}'
--- a/src/wigeonreach/scheduling/sharing/_cap_plan.py
+++ b/src/wigeonreach/scheduling/sharing/_cap_plan.py
@@ -39,7 +39,7 @@
     def startable_count(
         self, job: JobRecord, step: StepSpec, wanted: int
     ) -> int:
-        """Return how many tasks may start; record the job if not all may."""
+        """Return how many tasks or gangs may start; note the job if not all."""
         workspace = job.workspace
         if not workspace:
             return wanted
--- a/src/wigeonreach/scheduling/sharing/_cap_watch.py
+++ b/src/wigeonreach/scheduling/sharing/_cap_watch.py
@@ -64,6 +64,8 @@
         ]
 
     def _note(self, job_id: str, workspace: str) -> Note:
+        # Untracked and planned runs count toward the cap too, but are not in
+        # this sum, so it may be below the cap.
         used = self._store.use.used(workspace)
         reason = f'workspace {workspace} is at its cap, in use: {used}'
         return Note(LogEvent.JOB_CAPPED, job_id, reason)
--- a/src/wigeonreach/scheduling/sharing/_untracked_runs.py
+++ b/src/wigeonreach/scheduling/sharing/_untracked_runs.py
@@ -35,7 +35,7 @@
         return self._book.used(workspace)
 
     def note_heard(self, incarnation: Incarnation) -> None:
-        """Recount a worker's reported runs that no record assigns to it."""
+        """Recount a worker's reported runs whose tasks it is not assigned."""
         worker = incarnation.report.worker
         self.forget(worker)
         held = self._store.held_by(worker)
--- a/src/wigeonreach/scheduling/sharing/_weight_limiter.py
+++ b/src/wigeonreach/scheduling/sharing/_weight_limiter.py
@@ -1,8 +1,9 @@
 """Decide which jobs are within their workspace's weight.
 
 A workspace may submit many times its share.  Its weight is a rate in jobs per
-second.  Jobs beyond it run only on capacity that is left over, and take none
-from jobs within the weight of their workspace.
+second.  Jobs beyond it should run only on capacity that is left over, and take
+none from jobs within the weight of their workspace.  This module only tells the
+two apart; it does not place jobs.
 """
 
 from __future__ import annotations
@@ -12,8 +13,8 @@
 from wigeonreach.jobs import JobRecord, JobStore
 
 _MS_PER_S = 1000.0
-# Bucket size in seconds of the weight: jobs are submitted in bursts, and the
-# weight is guaranteed over any second.
+# Time in which the weight fills an empty bucket: jobs are submitted in bursts,
+# and the weight is guaranteed over any second.
 _BURST_S = 1.0
 
 
