--- a/src/wigeonreach/scheduling/_locality.py
+++ b/src/wigeonreach/scheduling/_locality.py
@@ -121,6 +121,7 @@
 
 
 def _rack_of(step: ReadyStep) -> Rack:
+    # The service to which the queue of the job belonged when it was accepted.
     return step.job.queue.service, step.spec.data_rack
 
 
--- a/src/wigeonreach/scheduling/_ready.py
+++ b/src/wigeonreach/scheduling/_ready.py
@@ -1,11 +1,11 @@
 """Find the steps that may start, and sort them by priority.
 
 Load comes in short peaks: for some seconds a queue asks for several times
-what its pool can run, and for little in between.  Serving steps go first.  Of
-the others, steps that can still finish within their objective precede those
-that can't and those deferred in favor of others.  Each of these groups is
-sorted by the priority of the queue, then by least laxity or, for late and
-deferred steps, by the remaining work of the occurrence.
+what its pool can run, and for little in between.  Serving steps go first.
+Among these, and among the others, steps that can still finish within their
+objective precede those that can't and those deferred in favor of others.  Each
+of these groups is sorted by the priority of the queue, then by least laxity or,
+for late and deferred steps, by the remaining work of the occurrence.
 """
 
 from __future__ import annotations
--- a/src/wigeonreach/scheduling/_triage.py
+++ b/src/wigeonreach/scheduling/_triage.py
@@ -70,7 +70,7 @@
     processors: float,
     now_s: float,
 ) -> set[OccurrenceId]:
-    """Return the occurrences that will be late, or give way to others.
+    """Return the occurrences that can't be on time, or give way to others.
 
     Parameters
     ----------
