--- a/src/wigeonreach/agreement/_agreement.py
+++ b/src/wigeonreach/agreement/_agreement.py
@@ -174,8 +174,9 @@
         Raises
         ------
         StateError
-            With ``STATE_NO_QUORUM`` if no quorum confirmed in time; the
-            command may still be applied later, or never.
+            With ``STATE_TOO_LARGE`` if the command is too large.  With
+            ``STATE_NO_QUORUM`` if no quorum confirmed in time; the command
+            may still be applied later, or never.
         """
         if len(command) > _MAX_COMMAND_BYTES:
             raise StateError(
@@ -197,7 +198,8 @@
         Raises
         ------
         StateError
-            With ``STATE_NO_QUORUM`` if no leader confirmed in time.
+            With ``STATE_NO_QUORUM`` if no leader confirmed in time, or this
+            replica did not catch up in time.
         """
         outcome = await self._requests.read()
         if isinstance(outcome, ReadIndex):
--- a/src/wigeonreach/agreement/_applier.py
+++ b/src/wigeonreach/agreement/_applier.py
@@ -65,8 +65,10 @@
     def snapshot_if_due(self) -> SnapshotTaken | None:
         """Take a snapshot if the log has grown enough since the last one.
 
-        The log may grow to the size of the last snapshot, so that writing
-        snapshots costs at most as much as writing the log itself.
+        It is due after a fixed number of entries, or once the commands are
+        as large as the last snapshot (and at least a minimum size).  With the
+        second limit alone, writing snapshots costs at most as much as writing
+        the log itself.
         """
         allowed_bytes = max(_MIN_LOG_GROWTH_BYTES, self._last_snapshot_bytes)
         is_due = (
--- a/src/wigeonreach/agreement/_disk.py
+++ b/src/wigeonreach/agreement/_disk.py
@@ -89,7 +89,7 @@
         return (self._folder / name).read_bytes()
 
     def append(self, name: str, payload: bytes) -> None:
-        """Append to a file; on an error, remove what was written of it."""
+        """Append to a file; on an error, undo a partial write."""
         descriptor = self._descriptor(name)
         size_bytes = os.fstat(descriptor).st_size
         rest = memoryview(payload)
--- a/src/wigeonreach/agreement/_disk_space.py
+++ b/src/wigeonreach/agreement/_disk_space.py
@@ -34,7 +34,7 @@
 
 
 class SpaceWatch:
-    """Reports once when space becomes low, and once when it is back."""
+    """Reports once when space becomes low, and once when it no longer is."""
 
     def __init__(self) -> None:
         """Start under the assumption that there is enough space."""
--- a/src/wigeonreach/agreement/_disk_writer.py
+++ b/src/wigeonreach/agreement/_disk_writer.py
@@ -26,7 +26,8 @@
     on_synced
         Called with the number of the last write that is synced.
     on_failed
-        Called if a sync failed; the process must then exit.
+        Called if a sync failed, or if a partial write could not be undone; the
+        process must then exit.
     logger
         Where events are logged.
     """
--- a/src/wigeonreach/agreement/_links.py
+++ b/src/wigeonreach/agreement/_links.py
@@ -22,7 +22,7 @@
 _PROBE_INTERVAL_S = 0.4
 _SILENCE_TIMEOUT_S = 1.2
 _MAX_QUEUED_MESSAGES = 512
-# Closes links to replicas that are gone for good.
+# Links unused for this long are closed, such as those to removed replicas.
 _IDLE_TIMEOUT_S = 30.0
 
 
--- a/src/wigeonreach/agreement/_opening.py
+++ b/src/wigeonreach/agreement/_opening.py
@@ -25,8 +25,8 @@
     logger
         Where events are logged.
     may_found
-        Whether an empty folder may belong to a cluster that was never
-        bootstrapped.
+        Whether a replica with an empty folder may take part in
+        bootstrapping a cluster.
 
     Returns
     -------
--- a/src/wigeonreach/agreement/_pending_requests.py
+++ b/src/wigeonreach/agreement/_pending_requests.py
@@ -35,7 +35,7 @@
 
 
 class OutcomeUnknown(msgspec.Struct, frozen=True):
-    """It is not known whether a proposal will be applied."""
+    """No definite reply arrived; a proposal may still be applied."""
 
 
 RequestOutcome = Applied | ReadIndex | NotStored | OutcomeUnknown
@@ -88,7 +88,7 @@
         self._proposals[accepted.index] = accepted
 
     def pop_proposal(self, index: int, term: int) -> RequestOrigin | None:
-        """Remove an applied entry; return its origin, or None if unknown.
+        """Remove the proposal of an applied entry; return its origin, if known.
 
         An entry of another term at the same index was proposed elsewhere.
         """
--- a/src/wigeonreach/agreement/_raft_election.py
+++ b/src/wigeonreach/agreement/_raft_election.py
@@ -125,7 +125,7 @@
     state.verified_index = 0
     # The pre-vote showed that a majority has no leader, so after a split vote
     # the next election need not wait for one.  With the full timeout, an
-    # election next to a replica with a full disk took a second longer.
+    # election took a second longer when the disk of one replica was full.
     state.set_short_election_timer()
     state.votes = set()
     _request_votes(state, is_trial=False)
--- a/src/wigeonreach/agreement/_raft_following.py
+++ b/src/wigeonreach/agreement/_raft_following.py
@@ -94,7 +94,7 @@
 
 def _reject(state: RaftState, message: AppendEntries) -> None:
     hint = min(state.log.last_index, message.previous_index)
-    # One rejection skips all entries of a term that the leader does not have.
+    # One rejection skips all uncommitted entries of the conflicting term.
     conflicting_term = state.log.term_at(hint)
     if message.previous_index <= state.log.last_index:
         while (
--- a/src/wigeonreach/agreement/_raft_leading.py
+++ b/src/wigeonreach/agreement/_raft_leading.py
@@ -193,7 +193,7 @@
         reverse=True,
     )
     index = synced[state.quorum_size() - 1]
-    # Entries of older terms are committed only through one of this term.
+    # Entries of older terms are committed only with one of this term.
     is_own_term = state.log.term_at(index) == state.hard_state.term
     if index > state.commit_index and is_own_term:
         state.commit_index = index
--- a/src/wigeonreach/agreement/_raft_log.py
+++ b/src/wigeonreach/agreement/_raft_log.py
@@ -56,7 +56,7 @@
 
     @property
     def voters_index(self) -> int:
-        """Index of the entry that set the newest voters."""
+        """Index of the entry that set the newest voters, or the base index."""
         return (
             self._voter_changes[-1][0]
             if self._voter_changes
@@ -64,7 +64,7 @@
         )
 
     def voters_at(self, index: int) -> Voters:
-        """Return the voters that an entry and those before it set."""
+        """Return the voters in effect once the entry at an index is stored."""
         known = self.base_voters
         for changed_index, voters in self._voter_changes:
             if changed_index > index:
--- a/src/wigeonreach/agreement/_raft_membership.py
+++ b/src/wigeonreach/agreement/_raft_membership.py
@@ -56,11 +56,11 @@
 
 
 def add_campaigning_learner(state: RaftState, candidate: MemberId) -> None:
-    """Add a replica as a learner that lost its vote while it was silent.
+    """Add a replica that lost its vote while it was silent as a learner.
 
     Such a replica was frozen or partitioned while another voter replaced it.
     It does not know that it has no vote, so it keeps asking for votes instead
-    of asking to join, and would never come back otherwise.
+    of asking to join, and could otherwise never rejoin.
     """
     if state.leader_state is not None and state.settings.voter_target:
         _add_learner(state, state.leader_state, candidate)
@@ -95,7 +95,7 @@
 
     The log grows in the meantime, so catching up takes rounds: in each, the
     learner replicates the entries that existed when the round began.  It has
-    caught up after a round that took at most the election timeout.
+    caught up if its last round took at most ``election_min_s``.
     """
     if progress.match_index < progress.catch_up_index:
         return
@@ -117,9 +117,11 @@
 
 
 def promote_caught_up(state: RaftState) -> None:
-    """Change the voters by one, so that a learner that caught up can vote.
+    """Remove a surplus voter, or take a step to make a learner a voter.
 
-    Nothing is changed while an earlier change is not committed.
+    Only a learner that caught up becomes a voter.  If a voter has the same
+    name, the first step removes it and a later one adds the learner.  Nothing
+    is changed while an earlier change is not committed.
     """
     lead = state.leader_state
     if lead is None or not _can_change_voters(state, lead):
@@ -166,7 +168,7 @@
 
 
 def _remove_surplus_voter(state: RaftState, lead: LeaderState) -> bool:
-    """Remove the longest silent voter while there are too many."""
+    """Remove the voter that was silent the longest, if there are too many."""
     target = state.settings.voter_target
     voters = state.log.voters
     if not target or len(voters) <= target:
--- a/src/wigeonreach/agreement/_raft_state.py
+++ b/src/wigeonreach/agreement/_raft_state.py
@@ -36,12 +36,12 @@
 class Progress:
     """A leader's view of the synced log of another replica.
 
-    ``encoded_snapshot`` is the snapshot that is being sent to it, if any.  A
-    learner has caught up once it reaches ``catch_up_index``, the end of the
-    log when the current round of catching up began, within the election
-    timeout.  While ``is_probing``, the last index at which both logs match is
-    not known, and no entries are sent: each batch would be rejected, and
-    would move ``next_index`` up again.
+    ``encoded_snapshot`` is the snapshot that is being sent to it, if any.
+    ``catch_up_index`` is the end of the log when the learner's current
+    catch-up round began; the learner has caught up if its last complete round
+    took at most ``election_min_s``.  While ``is_probing``, the last index at
+    which both logs match is not known, and messages carry no entries: each
+    batch would be rejected, and would move ``next_index`` up again.
     """
 
     next_index: int
@@ -104,9 +104,9 @@
 class RaftState:
     """Raft state of one replica.
 
-    The log matches that of the current leader up to ``verified_index``, and
-    is synced to disk up to ``synced_index``.  ``output`` collects the effects
-    of the current step.
+    The log is known to match that of the current leader up to
+    ``verified_index``, and to be synced to disk up to ``synced_index``.
+    ``output`` collects the effects of the current step.
     """
 
     replica_names: tuple[str, ...]
--- a/src/wigeonreach/agreement/_raft_types.py
+++ b/src/wigeonreach/agreement/_raft_types.py
@@ -38,10 +38,10 @@
 
 
 class HardState(msgspec.Struct, frozen=True):
-    """State that must be synced before a replica answers a message.
+    """State that must be synced before a vote is requested or granted.
 
     ``incarnation`` identifies the disk.  ``may_found`` is False if the
-    replica must not bootstrap a cluster, since its disk replaces a lost one.
+    replica must not bootstrap a cluster, as its disk may replace a lost one.
     """
 
     incarnation: int
@@ -51,7 +51,7 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """State of the state machine after an index, and the voters then."""
+    """State machine after the entry at ``index``, and the voters then."""
 
     index: int
     term: int
@@ -60,7 +60,7 @@
 
 
 class JournalBase(msgspec.Struct, frozen=True):
-    """Index and term of the entry before a journal, and the voters then."""
+    """The entry before the first one of a journal, and the voters then."""
 
     index: int = 0
     term: int = 0
--- a/src/wigeonreach/agreement/_state_machine.py
+++ b/src/wigeonreach/agreement/_state_machine.py
@@ -53,8 +53,9 @@
         Raises
         ------
         StateError
-            With ``STATE_NO_QUORUM`` if no quorum confirmed in time; the
-            command may still be applied later, or never.
+            With ``STATE_TOO_LARGE`` if the command is too large.  With
+            ``STATE_NO_QUORUM`` if no quorum confirmed in time; the command
+            may still be applied later, or never.
         """
 
     async def read_barrier(self) -> None:
@@ -63,7 +64,8 @@
         Raises
         ------
         StateError
-            With ``STATE_NO_QUORUM`` if no leader confirmed in time.
+            With ``STATE_NO_QUORUM`` if no leader confirmed in time, or this
+            replica did not catch up in time.
         """
 
     async def wait_applied(self, known_index: int) -> int:
--- a/src/wigeonreach/agreement/_storage.py
+++ b/src/wigeonreach/agreement/_storage.py
@@ -80,8 +80,8 @@
         Parameters
         ----------
         may_found
-            Whether an empty folder may belong to a cluster that was never
-            bootstrapped.
+            Whether a replica with an empty folder may take part in
+            bootstrapping a cluster.
 
         Raises
         ------
@@ -121,8 +121,8 @@
     def move_damaged_files(self) -> StoredState:
         """Rename all files of a damaged folder, and initialize it anew.
 
-        The new disk has no vote until a leader makes it a voter, and must
-        not bootstrap a cluster.
+        The folder then counts as a new disk: it has no vote until a leader
+        makes it a voter, and must not bootstrap a cluster.
         """
         damage_id = format(self._rng.getrandbits(_DAMAGED_ID_BITS), 'x')
         for name in self._disk.names() & _FILES:
@@ -139,6 +139,8 @@
         SyncFailedError
             If a sync failed; the content of the page cache can't be trusted
             any more, and the process must exit.
+        StateError
+            If a partial write could not be undone; the process must exit.
         """
         hard_states = [write.hard for write in writes if write.hard]
         if hard_states:
@@ -235,7 +237,7 @@
 
 
 def _writes_after_snapshot(writes: Sequence[Write]) -> Sequence[Write]:
-    """Return the writes whose entries the rewritten journal lacks."""
+    """Return the writes to append to the journal, after any snapshot."""
     later: list[Write] = []
     for write in writes:
         if write.snapshot:
--- a/src/wigeonreach/gateway/_gateway.py
+++ b/src/wigeonreach/gateway/_gateway.py
@@ -62,7 +62,7 @@
         logger: Logger,
         metrics: Metrics,
     ) -> None:
-        """Prepare; connections are opened on start."""
+        """Create a gateway; connections are opened on start."""
         super().__init__()
         self._process = process
         self._seeds = tuple(seeds)
@@ -87,7 +87,7 @@
 
     @property
     def has_leader(self) -> bool:
-        """Whether an open link is known to lead to a leader."""
+        """Whether an open link can reach the leader, directly or forwarded."""
         return self._best_link() is not None
 
     async def on_started(self) -> None:
@@ -107,7 +107,8 @@
     async def call(self, call: AnyCall, timeout_s: float) -> AnyReply:
         """Make a call and return the leader's reply.
 
-        A call is retried if its reply was lost, as all calls are idempotent.
+        A call is retried if its reply was lost or the core process knew no
+        leader; this is safe, as all calls are idempotent.
 
         Parameters
         ----------
@@ -177,7 +178,7 @@
         """Return a link to the leader, or None if there is none in time.
 
         A call that may have run waits until its caller's timeout: only the next
-        leader knows the outcome, and a rejection could be false.
+        leader knows the outcome, and it could be wrong to report a failure.
         """
         is_long = self._outage_s() > _LONG_OUTAGE_S
         wait_s = _POLL_INTERVAL_S if is_long else _LEADER_WAIT_S
--- a/src/wigeonreach/gateway/_link.py
+++ b/src/wigeonreach/gateway/_link.py
@@ -52,7 +52,7 @@
         on_change: Callable[[], None],
         logger: Logger,
     ) -> None:
-        """Prepare; the connection is opened on start."""
+        """Create a link; the connection is opened on start."""
         super().__init__()
         self.core = core
         self.notice: CoreNotice | None = None
@@ -90,7 +90,7 @@
         Returns
         -------
         AnyReply or None
-            None without a reply; the call may still have had an effect.
+            None if no reply arrived; the call may have had an effect.
         """
         channel = self._channel
         if channel is None:
--- a/src/wigeonreach/rollout/_follower.py
+++ b/src/wigeonreach/rollout/_follower.py
@@ -178,7 +178,7 @@
     def _on_heartbeat(self, heartbeat: ConfigBeat) -> tuple[Effect, ...]:
         self._source_version = heartbeat.version
         if heartbeat.confirmed_age_s >= 0 and heartbeat.echo_s >= 0:
-            # ``echo_s`` is the follower's own clock, returned by the source.
+            # ``echo_s`` is a time on the follower's clock, sent back to it.
             # The arrival time would be wrong if the message was delayed.
             self._source_confirmed_s = (
                 heartbeat.echo_s - heartbeat.confirmed_age_s
--- a/src/wigeonreach/state/_client.py
+++ b/src/wigeonreach/state/_client.py
@@ -27,8 +27,8 @@
 _REPLY_TIMEOUT_S = 3.0
 _RETRY_S = 0.1
 _DEFAULT_GIVE_UP_S = 8.0
-# Far below the time in which other commands displace a revision from the
-# table of known results (see ``Limits.result_age``).
+# Far less than the time in which so many commands are applied that the results
+# since this revision are dropped (see ``Limits.result_age``).
 _REVISION_MAX_AGE_S = 30.0
 _Answer = TypeVar('_Answer', bound=WireMessage)
 _Envelope = TypeVar('_Envelope', Submitted, Answered)
--- a/src/wigeonreach/state/_feed.py
+++ b/src/wigeonreach/state/_feed.py
@@ -53,9 +53,9 @@
         Returns
         -------
         ConfigDelta or None
-            None if that version is no longer remembered or its text has
-            another checksum, and for version 0, which needs the whole text:
-            that is sent compressed, not as a delta.
+            None if that version is no longer remembered, if its text has
+            another checksum, or for version 0: a follower without a text
+            gets the whole text, compressed, instead of a delta.
         """
         if version == 0:
             return None
--- a/src/wigeonreach/state/_machine.py
+++ b/src/wigeonreach/state/_machine.py
@@ -89,7 +89,7 @@
         return answer(question, self.state)
 
     def known_reply(self, command: Command) -> Reply | None:
-        """Return the reply to a command that must not be executed again."""
+        """Return the reply to a command that must not be executed, or None."""
         return reply_without_execution(
             Context(self.state, self._limits, command)
         )
--- a/src/wigeonreach/state/_machine_processes.py
+++ b/src/wigeonreach/state/_machine_processes.py
@@ -38,7 +38,7 @@
 
 @execute.register
 def forget_process(action: ForgetProcess, context: Context) -> Reply:
-    """Remove a process that ended for good."""
+    """Unregister a process that has ended and will not come back."""
     context.state.processes.pop(action.process, None)
     return context.succeeded()
 
--- a/src/wigeonreach/state/_request_handler.py
+++ b/src/wigeonreach/state/_request_handler.py
@@ -139,7 +139,7 @@
                 await self._version_changed.wait()
 
     def forget_process(self, process: str) -> None:
-        """Remove a process that ended for good from the registered ones."""
+        """Unregister a process that has ended and will not come back."""
         self.add_future(self._propose_ignoring_reply(ForgetProcess(process)))
 
     @mode.Service.task
--- a/src/wigeonreach/state/_subscription.py
+++ b/src/wigeonreach/state/_subscription.py
@@ -37,13 +37,13 @@
         """Return the sections that a follower lacks."""
 
     def confirmed_age_s(self) -> float:
-        """Return seconds since a quorum confirmed the newest version."""
+        """Return seconds since a quorum confirmed; -1 if it never did."""
 
     async def wait_newer(self, version: int, timeout_s: float) -> None:
         """Wait for a newer version, at most ``timeout_s`` seconds."""
 
     def forget_process(self, process: str) -> None:
-        """Remove a process that ended for good from the registered ones."""
+        """Unregister a process that has ended and will not come back."""
 
 
 class Subscription:
--- a/src/wigeonreach/wire/_call_replies.py
+++ b/src/wigeonreach/wire/_call_replies.py
@@ -111,7 +111,7 @@
 
 
 def lacks_leader(reply: Reply) -> bool:
-    """Whether the answering process is not the leader and knows no leader."""
+    """Whether the replying process neither leads nor knows the leader."""
     return isinstance(reply, NotDone) and reply.reason is WhyNot.NO_LEADER
 
 
--- a/src/wigeonreach/wire/_channel.py
+++ b/src/wigeonreach/wire/_channel.py
@@ -94,7 +94,7 @@
         Raises
         ------
         WireError
-            If no reply arrived in time.
+            If the connection failed or no reply arrived in time.
         """
         try:
             async with asyncio.timeout(timeout_s):
--- a/src/wigeonreach/wire/_raft_messages.py
+++ b/src/wigeonreach/wire/_raft_messages.py
@@ -44,7 +44,8 @@
     """Base of the messages between replicas.
 
     ``target_incarnation`` is the incarnation that the message is addressed
-    to; a replica drops messages addressed to a previous incarnation.
+    to; a replica drops messages addressed to an incarnation other than its
+    own, except a ``Join`` addressed to 0.
     """
 
     sender: MemberId
@@ -140,7 +141,8 @@
 class ReadIndexReply(RaftMessage, frozen=True):
     """Return the index that must be applied before the read is answered.
 
-    ``index`` is negative if the leader could not determine it.
+    ``index`` is negative if the request was refused.  The reply to a refused
+    ``Proposal`` is such a message, too.
     """
 
     request_id: int
--- a/src/wigeonreach/wire/_rollout_messages.py
+++ b/src/wigeonreach/wire/_rollout_messages.py
@@ -24,13 +24,14 @@
 
 
 class ConfigBeat(WireMessage, frozen=True):
-    """Version that the sender holds; the reply to each ``ConfigInForce``.
-
-    ``confirmed_age_s`` is how many seconds before this message a quorum last
-    confirmed that no newer version was accepted; negative if it never did.
-    ``echo_s`` is the newest ``sent_s`` that arrived from the receiver,
-    negative if none did: a message that was delayed in the network confirms
-    only what was true at that time.
+    """Version that the sender holds.
+
+    Sent in reply to each ``ConfigInForce``, and for a new version to which
+    there is no delta.  ``confirmed_age_s`` is how many seconds before this
+    message a quorum last confirmed that no newer version was accepted;
+    negative if it never did.  ``echo_s`` is the newest ``sent_s`` that arrived
+    from the receiver, negative if none did.  The message was sent after that
+    time, so it bounds how long the message was delayed in the network.
     """
 
     version: int
--- a/src/wigeonreach/workspaces/_index.py
+++ b/src/wigeonreach/workspaces/_index.py
@@ -29,7 +29,8 @@
     workspaces
         All workspaces; None if no call needs a credential.
     before
-        The previous index, whose credentials are remembered as withdrawn.
+        The previous index; its credentials that are no longer valid are
+        remembered as withdrawn.
     """
 
     def __init__(
