--- a/src/wigeonreach/agreement/_pending_requests.py
+++ b/src/wigeonreach/agreement/_pending_requests.py
@@ -88,7 +88,7 @@
         self._proposals[accepted.index] = accepted
 
     def pop_proposal(self, index: int, term: int) -> RequestOrigin | None:
-        """Remove the proposal of an applied entry; return its origin, if known.
+        """Remove the proposal of an applied entry; return its origin or None.
 
         An entry of another term at the same index was proposed elsewhere.
         """
--- a/src/wigeonreach/agreement/_raft_state.py
+++ b/src/wigeonreach/agreement/_raft_state.py
@@ -182,7 +182,7 @@
         return True
 
     def update_voter_role(self) -> None:
-        """Become a voter or a learner, as the newest voters require."""
+        """Become a voter or a learner, according to the newest voters."""
         if self.is_voter and self.role not in _VOTING_ROLES:
             self.change_role(RoleEvent.BECAME_VOTER)
             self.reset_election_timer()
--- a/src/wigeonreach/agreement/_raft_types.py
+++ b/src/wigeonreach/agreement/_raft_types.py
@@ -120,7 +120,7 @@
 
 
 class RequestOrigin(msgspec.Struct, frozen=True):
-    """The replica and the number of the request that waits for an outcome."""
+    """The replica that made a request, and its number for the request."""
 
     member: MemberId
     request_id: int
--- a/src/wigeonreach/gateway/_denials.py
+++ b/src/wigeonreach/gateway/_denials.py
@@ -48,7 +48,7 @@
                 self._denials.popitem(last=False)
 
     def find(self, call: AnyCall, version: int) -> Unauthorized | None:
-        """Return the denial of a call if it is valid for a version."""
+        """Return the denial cached for a call and this version, or None."""
         key = _caller_key(call)
         if key is None or version != self._version:
             return None
--- a/src/wigeonreach/gateway/_gateway.py
+++ b/src/wigeonreach/gateway/_gateway.py
@@ -43,7 +43,7 @@
 
 
 class Gateway(mode.Service):
-    """Links to all core processes, and calls to the leader.
+    """Keeps links to all core processes, and makes calls to the leader.
 
     Parameters
     ----------
--- a/src/wigeonreach/rollout/_follower.py
+++ b/src/wigeonreach/rollout/_follower.py
@@ -37,9 +37,10 @@
 class FollowerLimits:
     """Time limits after which a follower switches sources, in seconds.
 
-    ``silent_s`` is measured from the source's last message.  The others
-    start when the source is chosen, since a healthy source needs some time
-    to show that it is confirmed and up to date.
+    ``silent_s`` is measured from the source's last message, ``unconfirmed_s``
+    from its last confirmation, and ``behind_s`` from when it was chosen.  None
+    starts before that, since a healthy source needs some time to show that it
+    is confirmed and up to date.
     """
 
     silent_s: float = 2.5
--- a/src/wigeonreach/state/_client.py
+++ b/src/wigeonreach/state/_client.py
@@ -52,7 +52,7 @@
         *,
         is_local: bool = False,
     ) -> _Answer:
-        """Read records; unless ``is_local``, confirmed with a quorum first."""
+        """Read records, after a quorum round unless ``is_local``."""
 
 
 class StateClient:
--- a/src/wigeonreach/state/_machine_vms.py
+++ b/src/wigeonreach/state/_machine_vms.py
@@ -22,7 +22,7 @@
 
 @execute.register
 def grant_vm(action: GrantVm, context: Context) -> Reply:
-    """Grant a VM to a pool, if it is free or its release has expired."""
+    """Grant a VM to a pool, if it is free or its lease ended in a release."""
     state = context.state
     record = state.vms.get(action.vm) or _free_vm(action.vm)
     if _is_expired(record, state.clock_s):
--- a/src/wigeonreach/wire/_raft_messages.py
+++ b/src/wigeonreach/wire/_raft_messages.py
@@ -89,8 +89,8 @@
 class AppendReply(RaftMessage, frozen=True):
     """Report up to where the sender's synced log matches the leader's.
 
-    If the entries were rejected, ``match_index`` is the index at which the
-    leader may retry.
+    If the entries were rejected, ``match_index`` is the last index at which
+    the logs may still match; the leader retries from there.
     """
 
     is_accepted: bool
--- a/src/wigeonreach/wire/_rollout_messages.py
+++ b/src/wigeonreach/wire/_rollout_messages.py
@@ -30,8 +30,9 @@
     there is no delta.  ``confirmed_age_s`` is how many seconds before this
     message a quorum last confirmed that no newer version was accepted;
     negative if it never did.  ``echo_s`` is the newest ``sent_s`` that arrived
-    from the receiver, negative if none did.  The message was sent after that
-    time, so it bounds how long the message was delayed in the network.
+    from the receiver, negative if none did.  This message may have been
+    delayed in the network ever since that time, so it confirms only what was
+    true then.
     """
 
     version: int
--- a/src/wigeonreach/wire/_state_messages.py
+++ b/src/wigeonreach/wire/_state_messages.py
@@ -14,7 +14,7 @@
 
 
 class AcceptedText(WireMessage, frozen=True):
-    """An accepted text; ``version`` is 0 if none was accepted yet."""
+    """An accepted text; ``version`` is 0 if no such text is known."""
 
     version: int
     text: str
@@ -92,7 +92,7 @@
 
 
 class LeaseRecord(WireMessage, frozen=True):
-    """A named lease; ``holder`` is empty if it was released."""
+    """A named lease; ``holder`` is empty if it was released or never held."""
 
     name: str
     holder: str
--- a/src/wigeonreach/workspaces/_caps.py
+++ b/src/wigeonreach/workspaces/_caps.py
@@ -24,11 +24,11 @@
     cap
         Cap of the workspace; 0 for no limit.
     used
-        Resources that the workspace uses, or may use.
+        Resources that count as used by the workspace.
     need
-        Resources of the start.
+        Resources of all tasks that are started together.
     one_task
-        Resources of one task of the start.
+        Resources of one of these tasks.
     """
     amounts = (cap, used, need, one_task)
     limits = list(zip(*map(msgspec.structs.astuple, amounts), strict=True))
