--- a/src/wigeonreach/rollout/_follower.py
+++ b/src/wigeonreach/rollout/_follower.py
@@ -37,9 +37,10 @@
 class FollowerLimits:
     """Time limits after which a follower switches sources, in seconds.
 
-    ``silent_s`` is measured from the source's last message.  The others
-    start when the source is chosen, since a healthy source needs some time
-    to show that it is confirmed and up to date.
+    ``silent_s`` is measured from the source's last message, ``unconfirmed_s``
+    from its last confirmation, and ``behind_s`` from when it was chosen.  None
+    starts before that, since a healthy source needs some time to show that it
+    is confirmed and up to date.
     """
 
     silent_s: float = 2.5
@@ -178,7 +179,7 @@
     def _on_heartbeat(self, heartbeat: ConfigBeat) -> tuple[Effect, ...]:
         self._source_version = heartbeat.version
         if heartbeat.confirmed_age_s >= 0 and heartbeat.echo_s >= 0:
-            # ``echo_s`` is the follower's own clock, returned by the source.
+            # ``echo_s`` is a time on the follower's clock, sent back to it.
             # The arrival time would be wrong if the message was delayed.
             self._source_confirmed_s = (
                 heartbeat.echo_s - heartbeat.confirmed_age_s
