--- a/src/wigeonreach/fleet/__init__.py
+++ b/src/wigeonreach/fleet/__init__.py
@@ -1,4 +1,4 @@
-"""Plan moves, drains and reboots of VMs, without any I/O."""
+"""Plan moves, drains and reboots of VMs and place jobs, without I/O."""
 
 from wigeonreach.fleet._budget import ALLOWED, Budgets, Decision, Refusal
 from wigeonreach.fleet._budget_limits import (
--- a/src/wigeonreach/fleet/_budget.py
+++ b/src/wigeonreach/fleet/_budget.py
@@ -34,10 +34,11 @@
     refusal
         Reason for refusing, or None if the VM may be taken down.
     subject
-        Pool, service, zone or VM whose limit is exceeded.
+        Pool, service or VM that causes the refusal; if it is ``RESTORE``, the
+        kind of failure domain assumed to be lost, or empty for none.
     have, need
-        What would remain and what is required: slots, or seconds of the
-        budget where the refusal is ``TIME``.
+        What is available and what is required: slots, or seconds of the
+        budget if the refusal is ``TIME``; 0 if no figures were compared.
     """
 
     refusal: Refusal | None = None
@@ -71,7 +72,7 @@
         The validated configuration text in force.
     inventory
         The VMs; its watched pools are set from the text.  Call `observe`
-        after each change of a VM of a pool.
+        with the pool of a VM after each change of the VM.
     """
 
     def __init__(self, text: FleetText, inventory: Inventory) -> None:
@@ -101,7 +102,7 @@
         Parameters
         ----------
         pool
-            Name of a pool of which a VM changed.
+            Name of the pool in which a VM changed.
         now_s
             Time of the change, in seconds.
         """
@@ -132,8 +133,8 @@
         expected_s
             Expected downtime, in seconds.
         may_spend
-            Whether the promised slots may be missed for that long, if the
-            budget has enough time left.
+            Whether promised slots may be missing for ``expected_s``, if the
+            time budget has at least that much left.
 
         Returns
         -------
@@ -173,8 +174,8 @@
             The VM as the inventory holds it.
         is_emergency
             Whether the receiving pool is below the slots that must remain
-            after a domain loss.  Deferrable work of this pool then waits,
-            and a second loss is not guarded against.
+            after a domain loss.  Deferrable work of the VM's pool then
+            waits, and that pool is not guarded against a second loss.
         """
         if self._inventory.is_watched(vm.pool):
             return Decision(Refusal.WATCHED, vm.pool)
--- a/src/wigeonreach/fleet/_inventory.py
+++ b/src/wigeonreach/fleet/_inventory.py
@@ -64,7 +64,7 @@
         return len(self._vms)
 
     def __iter__(self) -> Iterator[Vm]:
-        """Iterate over all VMs; linear, so only for complete plans."""
+        """Iterate over all VMs; linear, so not meant for single decisions."""
         return iter(self._vms.values())
 
     def put(self, vm: Vm) -> None:
--- a/src/wigeonreach/fleet/_job_usage.py
+++ b/src/wigeonreach/fleet/_job_usage.py
@@ -7,7 +7,7 @@
 from wigeonreach._room import Room
 from wigeonreach.fleet._placement_model import Job
 
-# Observed range of the ratio of used to declared resources.
+# Observed range of the ratio of used to declared resources; limits estimates.
 MIN_RATIO = 0.2
 MAX_RATIO = 5.0
 # Estimates rise immediately and fall slowly: an overcommitted worker slows
--- a/src/wigeonreach/fleet/_model.py
+++ b/src/wigeonreach/fleet/_model.py
@@ -69,7 +69,7 @@
 
     @property
     def is_maintained(self) -> bool:
-        """Whether this system has taken the VM down for maintenance."""
+        """Whether this system took the VM down for maintenance or a move."""
         return self.state in _MAINTAINED_STATES
 
     def domain(self, kind: FailureDomain) -> str:
@@ -112,7 +112,7 @@
 
     @property
     def guarded_slots(self) -> float:
-        """Slots that must remain while a domain is lost and work waits."""
+        """Slots that must remain while a domain is lost and some work waits."""
         return self.slots - self.deferrable_slots
 
     def guards(self, kind: FailureDomain) -> bool:
--- a/src/wigeonreach/fleet/_moves_candidates.py
+++ b/src/wigeonreach/fleet/_moves_candidates.py
@@ -20,7 +20,7 @@
 
 
 class MaintenanceView(Protocol):
-    """VMs that maintenance waves work on or wait for."""
+    """VMs that maintenance waves maintain now or have yet to maintain."""
 
     def is_busy(self, vm: str) -> bool:
         """Return whether a VM is under maintenance."""
@@ -111,8 +111,8 @@
     ) -> Iterator[Exchange]:
         """Yield spare VMs of the requesting pool that help via an exchange.
 
-        Such a VM stands in another zone than requested.  Moved to another
-        pool, it frees a VM there in the requested zone, which can then be
+        Such a VM is in another zone than requested.  Moving it to another
+        pool frees a VM of that pool in the requested zone, which can then be
         moved to the requesting pool.
         """
         if request.cause is not MoveCause.MAINTENANCE:
@@ -153,10 +153,10 @@
     def cost(
         self, request: MoveRequest, vm: Vm
     ) -> tuple[int, int, int, int, str]:
-        """Return a sort key: disturbed work, the pool's need, zone spread."""
+        """Return a sort key: disturbed work, old pool's need, zone spread."""
         work = self.work_of(vm)
         zones = self._inventory.up_by_domain(request.pool, FailureDomain.ZONE)
-        # A VM in the zone of the one under maintenance replaces it best.
+        # A VM in the zone of the one waiting for maintenance is best.
         in_zone = -1 if vm.zone == request.zone else zones.slots(vm.zone)
         needed = self._budgets.needs[vm.pool].slots
         return work.in_flight, work.checkpointable, needed, in_zone, vm.name
--- a/src/wigeonreach/fleet/_moves_demand.py
+++ b/src/wigeonreach/fleet/_moves_demand.py
@@ -27,7 +27,8 @@
     spare_zone
         Zone in which its maintenance waits for another VM, or None.
     keeps_spare
-        Whether VMs lent to the pool help its maintenance.
+        Whether the pool may keep VMs lent for its maintenance; false after
+        no VM could be found for it.
     """
 
     short_since_s: float | None = None
--- a/src/wigeonreach/fleet/_moves_model.py
+++ b/src/wigeonreach/fleet/_moves_model.py
@@ -16,18 +16,20 @@
         Seconds without moves after a loss, because VMs of one failure domain
         fail together but are reported one after another.
     grace_s
-        Seconds for which promised slots must be missing before a VM is moved,
-        unless the depth of the budget is reached; most lost VMs come back
-        sooner.
+        Seconds for which promised slots must be missing before a VM is moved;
+        none if the pool has less than its minimum slots.  Most lost VMs come
+        back sooner.
     high_usage_s
         Seconds for which usage must be high before a VM is moved.
     usage_lag_s
         Seconds until a move shows in the usage; usage measured sooner
         triggers no further move.
     min_stay_s
-        Minimum time that a VM stays in its pool, in seconds.
+        Minimum time between two moves of a VM, in seconds; does not apply if
+        the second move is for depth or maintenance.
     min_loan_s
-        Minimum time that a VM lent for maintenance stays, in seconds.
+        Minimum time between two moves of a VM, in seconds, if the second move
+        is for maintenance.
     flap_window_s, flap_changes
         A VM that was lost this many times within this window, in seconds, is
         not moved.
--- a/src/wigeonreach/fleet/_moves_planner.py
+++ b/src/wigeonreach/fleet/_moves_planner.py
@@ -47,7 +47,7 @@
     settings
         Delays and limits of moves.
     claims
-        VMs under maintenance by waves, if there are any.
+        VMs that waves maintain or have yet to maintain; None without waves.
     """
 
     def __init__(
@@ -88,7 +88,8 @@
         Parameters
         ----------
         message
-            A report, the end of a move, or the passing of time.
+            A report, a request for spare capacity, the end of a move, or the
+            passing of time.
         now_s
             Current time, in seconds.
 
@@ -186,7 +187,7 @@
         return have
 
     def _expected_slots(self, pool: str) -> int:
-        """Return the slots up, under maintenance and moving to the pool."""
+        """Return slots up, maintained or moving in, except those moving out."""
         incoming = self._incoming[pool] - self._outgoing[pool]
         maintained = self._inventory.pool_maintained_slots(pool)
         return self._inventory.up_slots(pool) + maintained + incoming
--- a/src/wigeonreach/fleet/_peaks.py
+++ b/src/wigeonreach/fleet/_peaks.py
@@ -39,7 +39,7 @@
         Parameters
         ----------
         without_key, without_slots
-            Slots of one key to leave out of the count.
+            Key, and number of its slots to subtract before comparing.
         """
         if not self._ordered:
             return 0
--- a/src/wigeonreach/fleet/_placement.py
+++ b/src/wigeonreach/fleet/_placement.py
@@ -39,7 +39,8 @@
 from wigeonreach.fleet._quarantine import Quarantine
 
 LEASE_S = 30.0
-# Largest lag of a worker's clock; a lease is treated as expired only after it.
+# Largest lag of a worker's clock; added to the end of a lease before the lease
+# is treated as expired.
 _CLOCK_MARGIN_S = 2.0
 
 
@@ -54,7 +55,8 @@
         First lease token; tokens increase, and each manager that becomes
         responsible for placement starts above all earlier tokens.
     held_ratio
-        Ratio of each worker's processors that is reserved for urgent jobs.
+        Ratio of each worker's processors that only urgent and preemptible
+        jobs may use.
     """
 
     def __init__(
@@ -144,7 +146,7 @@
         pool = self.pool(worker.pool)
         if before is not None and before is not pool:
             if before.workers.state(worker.name).allocations:
-                # The worker stays in its old pool until its last job ends.
+                # The worker stays in its old pool until it joins without jobs.
                 return self._on_draining(WorkerDraining(worker.name), now_s)
             before.workers.leave(worker.name)
         self._pools.assign(worker.name, worker.pool)
--- a/src/wigeonreach/fleet/_placement_ends.py
+++ b/src/wigeonreach/fleet/_placement_ends.py
@@ -22,11 +22,12 @@
 from wigeonreach.fleet._placement_scheduler import PoolScheduler
 from wigeonreach.fleet._quarantine import Quarantine
 
-# Submissions are resent within minutes, in which far fewer jobs end.
+# Done jobs that are remembered to recognize resent submissions, which arrive
+# within minutes; far fewer jobs end in that time.
 _MAX_DONE_JOBS = 100_000
 # A job that had run for longer when its worker last answered is not held
-# responsible for the loss: several times the ten seconds after which a silent
-# worker is noticed.
+# responsible for the loss.  The limit is several times the ten seconds after
+# which a silent worker is noticed.
 _JUST_STARTED_S = 60.0
 
 
--- a/src/wigeonreach/fleet/_placement_jobs.py
+++ b/src/wigeonreach/fleet/_placement_jobs.py
@@ -69,7 +69,7 @@
     started_at_s: float = 0.0
     need: Room = NO_ROOM
     reason: Reason | None = None
-    # No further job is preempted for it earlier, as stopping takes time.
+    # Earliest time to preempt a further job for this one; stopping takes time.
     next_preemption_s: float = 0.0
 
     def apply(self, event: str) -> None:
--- a/src/wigeonreach/fleet/_placement_model.py
+++ b/src/wigeonreach/fleet/_placement_model.py
@@ -35,7 +35,8 @@
         Whether the job may be throttled, or checkpointed and stopped, in
         favour of other work.
     is_idempotent
-        Whether the job may be started again after a start that may have run.
+        Whether the job may be started again although an earlier start may
+        have taken effect.
     """
 
     job_id: str
@@ -83,7 +84,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FoundTask:
-    """A task that already ran before this placement was started."""
+    """A task that was already running when its worker joined."""
 
     job: Job
     lease_token: int
@@ -205,7 +206,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReportRun:
-    """Report a non-idempotent job that may have run to an operator."""
+    """Report to an operator that a non-idempotent job may have run."""
 
     job_id: str
     worker: str
--- a/src/wigeonreach/fleet/_placement_pool.py
+++ b/src/wigeonreach/fleet/_placement_pool.py
@@ -21,8 +21,8 @@
 
 # Ratio of its processors that a throttled job keeps.
 THROTTLE_RATIO = 0.25
-# Workers that fail together are reported lost within this time, because a
-# silent worker is noticed after ten seconds.
+# Workers that fail together are reported lost within this time of each other,
+# because a silent worker is noticed after ten seconds.
 _SAME_FAILURE_S = 10.0
 
 
@@ -101,8 +101,8 @@
     Parameters
     ----------
     held_ratio
-        Ratio of each worker's processors that only urgent jobs, and jobs
-        preemptible in their favour, may use.
+        Ratio of each worker's processors that only urgent jobs may use, and
+        preemptible jobs until an urgent one needs them.
     """
 
     def __init__(self, held_ratio: float) -> None:
@@ -144,7 +144,7 @@
         self.close(name, CloseReason.LOST)
 
     def lost_with_rack_peers(self, name: str) -> bool:
-        """Whether other workers of its rack were lost at about the time."""
+        """Whether other workers of its rack were lost around the same time."""
         lost = self._workers[name]
         return any(
             other.worker.rack == lost.worker.rack
--- a/src/wigeonreach/fleet/_placement_pools.py
+++ b/src/wigeonreach/fleet/_placement_pools.py
@@ -20,7 +20,8 @@
     quotas
         Processors by team.
     held_ratio
-        Ratio of each worker's processors that is reserved for urgent jobs.
+        Ratio of each worker's processors that only urgent and preemptible
+        jobs may use.
     """
 
     def __init__(
--- a/src/wigeonreach/fleet/_placement_scheduler.py
+++ b/src/wigeonreach/fleet/_placement_scheduler.py
@@ -25,10 +25,12 @@
 from wigeonreach.fleet._quota import QuotaTracker
 
 _MAX_CANDIDATES = 16
-# Bounds on the cost of one event: jobs started, and jobs tried in one go.
+# Bounds on the cost of one event: non-urgent jobs started, and waiting jobs
+# tried for each of these starts; also the number of urgent jobs tried.
 _STARTS_PER_EVENT = 32
 _TRIES_PER_EVENT = 8
-# Time that a checkpoint and a stop may take before another job is preempted.
+# Time that a checkpoint and a stop may take before a further job is preempted
+# for the same waiting job.
 _PREEMPTION_WAIT_S = 5.0
 
 
@@ -45,7 +47,7 @@
 
     @property
     def max_candidates(self) -> int | None:
-        """Number of workers to examine in each group; all if ``None``."""
+        """Number of workers to examine per size class; all if ``None``."""
         return None if self.is_exhaustive else _MAX_CANDIDATES
 
 
@@ -59,7 +61,8 @@
     quotas
         Processors by team.
     held_ratio
-        Ratio of each worker's processors that is reserved for urgent jobs.
+        Ratio of each worker's processors that only urgent and preemptible
+        jobs may use.
     estimator, quarantine
         Usage estimates and failure records, shared with the owner.
     """
--- a/src/wigeonreach/fleet/_placement_yield.py
+++ b/src/wigeonreach/fleet/_placement_yield.py
@@ -108,7 +108,7 @@
         )
 
     def throttle_overloaded(self, worker: str) -> list[Effect]:
-        """Throttle preemptible jobs if a worker's processors are exceeded."""
+        """Throttle preemptible jobs if a worker lacks processors."""
         if self._workers.state(worker).free.processors >= 0:
             return []
         return self._throttle(worker, NO_ROOM)
--- a/src/wigeonreach/fleet/_quarantine.py
+++ b/src/wigeonreach/fleet/_quarantine.py
@@ -36,14 +36,16 @@
 class Quarantine:
     """Quarantine of workers whose jobs fail there but succeed elsewhere.
 
-    A failure is weighted by how often jobs of the same family succeed on
-    other workers.  A family that fails everywhere therefore adds almost no
-    evidence against a worker.  The share of a pool in quarantine is capped.
+    A failure is weighted by how often jobs of the same family succeed, not
+    counting their failures on this worker.  A family that fails everywhere
+    therefore adds almost no evidence against a worker.  The share of a pool
+    in quarantine is capped.
 
     Parameters
     ----------
     cap_ratio
-        Largest share of a pool's workers that may be in quarantine.
+        Largest share of a pool's workers that may be in quarantine; one
+        worker always may.
     """
 
     def __init__(self, cap_ratio: float = _DEFAULT_CAP_RATIO) -> None:
@@ -143,7 +145,7 @@
             record.is_probed = False
 
     def forget_worker(self, pool: str, worker: str) -> None:
-        """Delete the record of a worker that left or was rebooted."""
+        """Delete the record of a worker that joined its pool again."""
         record = self._workers.pop(worker, None)
         if record is not None and record.is_quarantined:
             self._quarantined_by_pool[pool] -= 1
--- a/src/wigeonreach/fleet/_quota.py
+++ b/src/wigeonreach/fleet/_quota.py
@@ -97,7 +97,7 @@
         return sum(len(queue) for queue in self._waiting.values())
 
     def borrowed_jobs(self, limit: int) -> Iterator[str]:
-        """Yield preemptible jobs, the latest of the largest borrower first.
+        """Yield preemptible jobs: largest borrower first, latest job first.
 
         Parameters
         ----------
--- a/src/wigeonreach/fleet/_waves_chart.py
+++ b/src/wigeonreach/fleet/_waves_chart.py
@@ -27,7 +27,7 @@
 
     @property
     def is_final(self) -> bool:
-        """Whether the VM is finished with this wave."""
+        """Whether the wave is finished with the VM."""
         return self in _FINAL
 
 
--- a/src/wigeonreach/fleet/_waves_execution.py
+++ b/src/wigeonreach/fleet/_waves_execution.py
@@ -45,7 +45,7 @@
 
 
 class ActiveVms:
-    """The VMs that a wave has started to maintain and not yet finished.
+    """The VMs that waves have started to maintain and not yet finished.
 
     Keeps the inventory and the budgets up to date, so that all waves and
     moves account for the VMs under maintenance by any of them.
@@ -92,7 +92,7 @@
         return [vm for vm in found if vm is not None]
 
     def accepts(self, vm: str, operation_id: str) -> bool:
-        """Return whether a report refers to the current attempt."""
+        """Return whether a report refers to the current attempt or to none."""
         wave = self._waves.get(vm)
         if wave is None:
             return False
@@ -150,7 +150,7 @@
         return effects
 
     def due_timers(self, now_s: float) -> Iterator[tuple[str, bool]]:
-        """Yield VMs whose phase timed out or whose effects are resent now."""
+        """Yield VMs with a due timer, and whether it is a phase timeout."""
         while self._timers and self._timers[0].at_s <= now_s:
             timer = heapq.heappop(self._timers)
             wave = self._waves.get(timer.vm)
--- a/src/wigeonreach/fleet/_waves_model.py
+++ b/src/wigeonreach/fleet/_waves_model.py
@@ -25,17 +25,20 @@
     Attributes
     ----------
     max_at_once
-        Largest number of VMs of one wave from drain to settling.
+        Largest number of VMs of one wave that are in any phase from draining
+        to settling at the same time.
     halt_failures, halt_window
-        A wave halts after this many failures among the last results.
+        A wave halts after `halt_failures` failures among its last
+        `halt_window` results, or on a failure with no success among them.
     drain_limit_s, reboot_limit_s, check_limit_s
         Timeouts of the phases, in seconds.
     settle_s
         Length of the settling phase, in seconds.
     resend_s
-        Seconds in a phase after which its effects are sent again.
+        Interval at which the effects of a phase are sent again, in seconds.
     expected_s
-        Typical downtime of a VM in seconds, requested from the budget.
+        Typical downtime of a VM, in seconds; a drain that leaves promised
+        slots missing needs this much time in the budget.
     """
 
     max_at_once: int = 20
--- a/src/wigeonreach/fleet/_waves_planner.py
+++ b/src/wigeonreach/fleet/_waves_planner.py
@@ -33,7 +33,7 @@
 from wigeonreach.fleet._waves_wave import Wave, new_wave_state
 from wigeonreach.text import Maintenance
 
-# Groups of zone and pool checked on one event; bounds the cost of an event.
+# Groups of zone and pool checked per wave on one event; bounds its cost.
 _GROUPS_PER_EVENT = 16
 _DAY_S = 86_400.0
 
@@ -118,10 +118,10 @@
         return effects + self._grant_drains(now_s)
 
     def take_wanting(self) -> Mapping[str, str]:
-        """Return the pools blocked by a lack of spare capacity, and reset.
+        """Return and clear the pools blocked by a lack of spare capacity.
 
-        Lending another VM to such a pool lets its maintenance continue.  The
-        value is the zone of the waiting VM, in which a lent VM helps most.
+        Lending another VM to such a pool lets its maintenance continue.  Each
+        pool maps to the zone of its waiting VM, where a lent VM helps most.
         """
         pools = self._pools_short_of_spare
         self._pools_short_of_spare = {}
@@ -239,7 +239,7 @@
         return effects + self._recall_drains(now_s)
 
     def _recall_drains(self, now_s: float) -> list[WaveEffect]:
-        """Cancel drains that the budgets no longer allow."""
+        """Cancel drains that the budgets or another gate no longer allow."""
         effects: list[WaveEffect] = []
         for vm in self._active_vms.draining():
             wave = self._active_vms.wave_of(vm.name)
--- a/src/wigeonreach/fleet/_waves_wave.py
+++ b/src/wigeonreach/fleet/_waves_wave.py
@@ -187,8 +187,10 @@
 def merge_states(one: WaveState, other: WaveState) -> WaveState:
     """Merge the states that two managers have of the same wave.
 
-    While a zone is partitioned, each side continues with its own VMs.  The
-    later attempt and the further phase win, so that nothing is done twice.
+    While a zone is partitioned, each side continues with its own VMs.  For
+    each VM, the later attempt wins, or the later phase of the same attempt,
+    so that nothing is done twice.  Everything else is taken from the state
+    whose status comes later in `WaveStatus`.
 
     Parameters
     ----------
--- a/src/wigeonreach/manager/_core.py
+++ b/src/wigeonreach/manager/_core.py
@@ -39,8 +39,8 @@
 _COMMANDS: Mapping[str, _Command] = MappingProxyType(
     {'paused': PauseWave, 'running': ResumeWave, 'stopped': StopWave},
 )
-# The action that returns a VM to service once its wave is done with it, by
-# the phase that the platform reports and the phase that the wave recorded.
+# Action that returns a VM to service after its maintenance has ended or its
+# drain was cancelled, by the phases that the platform and the wave record.
 _FINAL_EFFECTS = MappingProxyType(
     {
         (VmPhase.BOOTED, Phase.MAINTAINED): EffectKind.RESTORE,
@@ -62,8 +62,9 @@
 class ManagerCore:
     """Decision logic of one manager; performs no I/O.
 
-    It is rebuilt from the durable state when the configuration changes,
-    after a restart, and when another manager is found to have written.
+    It is rebuilt from the durable state after a restart, when the lease or the
+    configuration changes, and after a failed round, such as when another
+    manager has written, unless the VMs could merely not be listed.
 
     Parameters
     ----------
--- a/src/wigeonreach/manager/_daemon.py
+++ b/src/wigeonreach/manager/_daemon.py
@@ -29,7 +29,7 @@
 
 
 class Manager(mode.Service):
-    """Manager of one zone; the one that holds the lease runs the waves.
+    """Manager of one zone; runs the waves only while it holds the lease.
 
     Parameters
     ----------
--- a/src/wigeonreach/manager/_job_actions.py
+++ b/src/wigeonreach/manager/_job_actions.py
@@ -1,4 +1,4 @@
-"""Request task actions from the platform, each with effect at most once."""
+"""Send task actions to the platform, each taking effect at most once."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 class JobActions:
-    """Pending actions, resent until the platform confirms them.
+    """Pending actions, resent until the platform confirms or fences them.
 
     Parameters
     ----------
@@ -85,7 +85,7 @@
         Returns
         -------
         list of TaskChanged
-            Failures of jobs whose start was claimed before.
+            Failures of jobs whose start had already been claimed.
         """
         by_worker: dict[str, list[TaskAction]] = {}
         for action in self._pending.values():
--- a/src/wigeonreach/manager/_job_placer.py
+++ b/src/wigeonreach/manager/_job_placer.py
@@ -27,7 +27,7 @@
 
 
 class JobPlacer(mode.Service):
-    """Owner of a zone's placement; HTTP handlers only enqueue messages.
+    """Owner of a zone's placement; HTTP handlers read it or queue messages.
 
     Parameters
     ----------
@@ -48,7 +48,7 @@
         metrics: Metrics,
         logger: Logger,
     ) -> None:
-        """Prepare; jobs are placed only while the zone's lease is held."""
+        """Prepare; jobs are placed from a lease's grant until a refusal."""
         super().__init__()
         self._settings = settings
         self._config = config
--- a/src/wigeonreach/manager/_jobs.py
+++ b/src/wigeonreach/manager/_jobs.py
@@ -30,8 +30,8 @@
 from wigeonreach.provider import Platform, TaskView, VmPhase, VmView
 from wigeonreach.text import FleetText
 
-# Size of the range of task tokens reserved for each lease token; one holder
-# cannot exhaust it.
+# Number of task tokens reserved for each lease token; more than one holder of
+# the lease can use up.
 _TOKENS_PER_HOLDER = 2**32
 # A worker that has not answered for this long is treated as lost.
 _WORKER_TIMEOUT_S = 10.0
@@ -58,7 +58,7 @@
     text
         Fleet configuration in force: pools and quotas.
     platform, actions
-        Platform client, and the actions pending there.
+        Platform client, and the actions that it has not confirmed yet.
     """
 
     def __init__(
@@ -134,7 +134,7 @@
         Raises
         ------
         PlatformError
-            If the workers can't be listed.
+            If the VMs, or the tasks of a new worker, can't be listed.
         """
         page = await self._platform.list_vms(self._revision)
         for view in page.vms:
