--- a/src/wigeonreach/manager/_jobs.py
+++ b/src/wigeonreach/manager/_jobs.py
@@ -93,7 +93,7 @@
         return self._is_ready
 
     def apply_text(self, text: FleetText, now_s: float) -> None:
-        """Apply a new configuration, with effect from the next round."""
+        """Apply a new configuration; VMs join their pools in the next round."""
         before = self._pool_of
         self._pool_of = {
             vm: pool.name for pool in text.pools.values() for vm in pool.vms
--- a/src/wigeonreach/provider/_client.py
+++ b/src/wigeonreach/provider/_client.py
@@ -75,7 +75,7 @@
         return response.page()
 
     async def list_tasks(self, worker: str) -> tuple[TaskView, ...]:
-        """Return the tasks of a worker; their usage lags behind."""
+        """Return the tasks of a worker; their usage is reported late."""
         path = f'/v1/workers/{worker}/tasks'
         response = await self._request('GET', path, TasksSchema)
         if any(task.worker != worker for task in response.tasks):
--- a/src/wigeonreach/provider/_interface.py
+++ b/src/wigeonreach/provider/_interface.py
@@ -18,7 +18,7 @@
         """Return the VMs that changed after a revision; 0 for all."""
 
     async def list_tasks(self, worker: str) -> tuple[TaskView, ...]:
-        """Return the tasks of a worker; their usage lags behind."""
+        """Return the tasks of a worker; their usage is reported late."""
 
     async def act(self, action: Action) -> None:
         """Request an action; its effect shows in later lists."""
