--- a/src/wigeonreach/entry/_admission.py
+++ b/src/wigeonreach/entry/_admission.py
@@ -55,7 +55,7 @@
         return self._mean_s * self._decay(now_s)
 
     def upper_bound_s(self, now_s: float) -> float:
-        """Return a bound that nearly every request keeps, in seconds."""
+        """Return a time in which nearly every request ends, in seconds."""
         bound_s = self._mean_s + _BOUND_DEVIATIONS * self._deviation_s
         return bound_s * self._decay(now_s)
 
--- a/src/wigeonreach/entry/_attempt.py
+++ b/src/wigeonreach/entry/_attempt.py
@@ -1,4 +1,4 @@
-"""Send a request to one target once and read the complete response."""
+"""Send a request once to one target and read the complete response."""
 
 from __future__ import annotations
 
@@ -67,7 +67,7 @@
 
 
 class TargetClient:
-    """HTTP client for targets that sends each request exactly once.
+    """HTTP client for targets that sends each request at most once.
 
     Parameters
     ----------
--- a/src/wigeonreach/entry/_config.py
+++ b/src/wigeonreach/entry/_config.py
@@ -114,7 +114,7 @@
         self._copy_changed.set()
 
     def note_peers_replied(self) -> None:
-        """Record that the reachable peers of the zone have sent their copies."""
+        """Record that reachable peers of the zone had time to send their copies."""
         self._have_peers_replied = True
         self._copy_changed.set()
 
--- a/src/wigeonreach/entry/_config_peers.py
+++ b/src/wigeonreach/entry/_config_peers.py
@@ -48,7 +48,7 @@
         held = self._config.follower.held
         need = ConfigNeed(held.version, held.digests())
         self._peers.post_to_zone(need)
-        # Unreachable peers are not waited for any longer.
+        # A peer that has not replied by then is regarded as unreachable.
         await self.sleep(_ASK_INTERVAL_S)
         if self._config.follower.held.version:
             self._config.note_peers_replied()
--- a/src/wigeonreach/entry/_credits_borrower.py
+++ b/src/wigeonreach/entry/_credits_borrower.py
@@ -97,7 +97,8 @@
         wishes
             New loans to ask for.
         now_s
-            Monotonic time of this process, in seconds; leases start here.
+            Monotonic time of this process, in seconds, at which the leases
+            that the reply grants begin.
         """
         renewals = self._renewals(lender, now_s)
         if not wishes and not renewals:
@@ -168,7 +169,7 @@
             yield Outgoing(slot.key.lender, self._build_return(slot.key))
 
     def lenders(self) -> set[str]:
-        """Return the names of all entries with a loan to this one."""
+        """Return the names of all entries that this one borrows slots from."""
         return {slot.key.lender for slot in self._slots.values()}
 
     def _renewals(self, lender: str, now_s: float) -> tuple[int, ...]:
--- a/src/wigeonreach/entry/_credits_exchange.py
+++ b/src/wigeonreach/entry/_credits_exchange.py
@@ -62,7 +62,7 @@
         self._demands = Demands()
 
     def own_targets(self, service: str, now_s: float) -> list[TargetRecord]:
-        """Return the targets of this zone that accept new requests."""
+        """Return the zone's targets of a service that accept new requests."""
         return [
             member.record
             for member in self._membership.serving(service, now_s)
@@ -70,7 +70,7 @@
         ]
 
     def foreign_targets(self, service: str) -> list[TargetRecord]:
-        """Return the targets of other zones that lent slots to this entry."""
+        """Return the targets of other zones whose slots this entry borrowed."""
         return [
             record
             for record in self._borrower.targets(service)
@@ -78,7 +78,7 @@
         ]
 
     def take(self, record: TargetRecord, now_s: float) -> SlotSource | None:
-        """Occupy a slot of a target, preferring own slots to borrowed ones.
+        """Occupy a slot of a target: own, else taken over, else borrowed.
 
         Parameters
         ----------
@@ -168,12 +168,12 @@
         self._lender.on_returned(returned)
 
     def forget_idle(self, known: set[TargetKey], now_s: float) -> None:
-        """Remove the state of targets that are no longer known."""
+        """Remove the unused state of targets that are no longer known."""
         self._lender.forget_idle(known, now_s)
         self._takeover.forget_idle(known, now_s)
 
     def tick(self, now_s: float) -> list[Outgoing]:
-        """Return the messages that give back and request loans."""
+        """Return the messages that return, renew and request loans."""
         outgoing = list(self._borrower.collect_returns(now_s))
         unmet = self._demands.take_unmet()
         unmet_in_zone = self._unmet_in_zone(unmet, now_s)
--- a/src/wigeonreach/entry/_credits_lender.py
+++ b/src/wigeonreach/entry/_credits_lender.py
@@ -38,9 +38,9 @@
     def renew(self, now_s: float) -> None:
         """Extend the loan by a full lease.
 
-        The borrower counts its lease from before it sent the request, so that
-        its lease ends first.  A request sent just before that may then run
-        for another ``work_bound_s``.
+        The borrower counts its lease from before it asked for the renewal, so
+        that its lease ends before the lender's.  A target may work for another
+        ``work_bound_s`` on a request that the borrower sent at the last moment.
         """
         self.reclaim_s = now_s + LEASE_S + self.work_bound_s
 
@@ -75,8 +75,8 @@
     def lendable_to_other_zones(self, now_s: float) -> int:
         """Return how many more slots may be lent to other zones.
 
-        Nothing is lent unless more than half of the share is idle, so that
-        requests of other zones can't starve those of this one.
+        Nothing is lent unless more than half of the share is lendable within
+        the zone, so that requests of other zones can't starve those of this one.
         """
         idle = self.lendable(now_s)
         if idle * 2 <= self.pool.size:
@@ -239,7 +239,7 @@
                 self._shares[loan.target].loans.pop(loan_id, None)
 
     def forget_idle(self, known: set[TargetKey], now_s: float) -> None:
-        """Remove unused shares of targets that are no longer known."""
+        """Remove ended loans, and unused shares of targets no longer known."""
         gone = [
             key
             for key, share in self._shares.items()
--- a/src/wigeonreach/entry/_credits_takeover.py
+++ b/src/wigeonreach/entry/_credits_takeover.py
@@ -12,7 +12,7 @@
 
 @dataclasses.dataclass(slots=True)
 class RefusalPeriod:
-    """A series of refused connections to a peer without a longer gap.
+    """Refused connections to a peer, each within a lease of the previous.
 
     Both times are monotonic seconds.
     """
@@ -69,7 +69,7 @@
             return
         refusal = self._refusals.get(peer)
         if refusal is None or attempted_s - refusal.last_s >= LEASE_S:
-            # A process may have started and ended within a longer gap.
+            # A process may have started and ended within so long a gap.
             self._refusals[peer] = RefusalPeriod(attempted_s, attempted_s)
         else:
             refusal.last_s = attempted_s
--- a/src/wigeonreach/entry/_daemon.py
+++ b/src/wigeonreach/entry/_daemon.py
@@ -29,7 +29,7 @@
 from wigeonreach.observe import LogEvent, Logger, Metrics
 
 _POLL_S = 0.02
-# An entry that can't reach its peers becomes ready after this time.
+# An entry that can't reach its peers becomes ready anyway after this time.
 _PEER_SYNC_TIMEOUT_S = 3.0
 # A request that was sent before its connection was closed arrives within this.
 _IN_TRANSIT_S = 0.3
@@ -122,7 +122,7 @@
         self.add_future(self._become_ready())
 
     async def drain(self) -> None:
-        """Withdraw readiness, then wait until no request is in flight."""
+        """Withdraw readiness, then wait for the requests in flight to end."""
         self._lifecycle.apply(LifecycleEvent.TOLD_TO_STOP)
         await asyncio.sleep(self._settings.readiness_notice_s)
         self._lifecycle.apply(LifecycleEvent.NOTICE_GIVEN)
--- a/src/wigeonreach/entry/_demand.py
+++ b/src/wigeonreach/entry/_demand.py
@@ -15,8 +15,8 @@
 class ServiceDemand:
     """Recent unmet demand for the slots of one service.
 
-    ``unanswered_since_s`` maps each lender that has granted nothing since it
-    was last asked to the time of that request.
+    ``unanswered_since_s`` holds, by lender, the time at which it was last
+    asked; a lender that has granted slots since is not included.
     """
 
     unmet_requests: int = 0
@@ -30,7 +30,7 @@
         return now_s - self.last_unmet_s < _UNMET_WINDOW_S
 
     def unanswered_for_s(self, lender: str, now_s: float) -> float:
-        """Return the time since a lender's unanswered request, in seconds."""
+        """Return the time since a lender's unanswered request, or infinity."""
         return now_s - self.unanswered_since_s.get(lender, _NEVER_S)
 
 
--- a/src/wigeonreach/entry/_dissemination.py
+++ b/src/wigeonreach/entry/_dissemination.py
@@ -158,7 +158,7 @@
         )
 
     def on_restart(self, name: str, now_s: float) -> None:
-        """Handle the restart of a peer, which may have lost a leave."""
+        """Handle the restart of a peer that may have forgotten a leave."""
         if name in self._zone_names:
             self._membership.require_confirmation(now_s)
             self.update_contact()
@@ -179,7 +179,7 @@
         """Return an upper bound of a batch's transmission delay, in seconds."""
         if batch.echo_incarnation_ns == self._incarnation_ns:
             return now_s - batch.echo_s
-        # Without an echo the delay is unbounded, and every lease has expired.
+        # Without an echo the delay is unknown, and every lease counts as ended.
         return float('inf')
 
     def _find(self, target_ids: Iterable[str]) -> Iterator[Member]:
--- a/src/wigeonreach/entry/_ejection.py
+++ b/src/wigeonreach/entry/_ejection.py
@@ -51,7 +51,7 @@
             self._record_failure(now_s)
 
     def recent_failed_ratio(self, now_s: float) -> float:
-        """Return the failure ratio, halved for each second since a failure.
+        """Return the failure ratio, halved per second since the last failure.
 
         Without this decay a target that failed once would get no request for
         as long as another target is idle, and so could never recover.
--- a/src/wigeonreach/entry/_gate.py
+++ b/src/wigeonreach/entry/_gate.py
@@ -41,7 +41,7 @@
         request: web.Request,
         handler: Handler,
     ) -> web.StreamResponse:
-        """Answer one request; close its connection if the entry stops."""
+        """Answer one request; close its connection if the entry is stopping."""
         if self._lifecycle.phase is Phase.CLOSING:
             # The connection was closed while this request was in transit: no
             # response can be sent, and nothing may run.
--- a/src/wigeonreach/entry/_keys.py
+++ b/src/wigeonreach/entry/_keys.py
@@ -28,7 +28,8 @@
     Attributes
     ----------
     zone, owner
-        The entry that issued the key; only it may dispatch the request.
+        Zone and name of the entry that issued the key; only this entry may
+        dispatch the request.
     incarnation
         Random identifier of one run of that entry's process.
     number
--- a/src/wigeonreach/entry/_keys_forward.py
+++ b/src/wigeonreach/entry/_keys_forward.py
@@ -117,8 +117,9 @@
         Returns
         -------
         KeyResult
-            How the request ended.  Only the owner returns an outcome other
-            than "unknown", so it holds for all copies of the request.
+            How the request ended.  An outcome other than "unknown" holds for
+            all copies of the request: it comes from the owner, or from a check
+            of the key that fails on every entry.
         """
         try:
             return await self._route(request)
--- a/src/wigeonreach/entry/_keys_owner.py
+++ b/src/wigeonreach/entry/_keys_owner.py
@@ -88,7 +88,8 @@
         Returns
         -------
         KeyResult
-            How the request ended; the same for each of its copies.
+            How the request ended, the same for each of its copies;
+            ``IN_PROGRESS`` if it still runs at the deadline.
 
         Raises
         ------
--- a/src/wigeonreach/entry/_keys_table.py
+++ b/src/wigeonreach/entry/_keys_table.py
@@ -157,7 +157,8 @@
         -------
         Step or KeyResult
             ``RUN`` at most once for each key, ``WAIT`` while that request
-            runs, and its result afterwards.
+            runs, and its result afterwards; ``EXPIRED`` for an expired key
+            without a record.
 
         Raises
         ------
--- a/src/wigeonreach/entry/_membership.py
+++ b/src/wigeonreach/entry/_membership.py
@@ -173,7 +173,7 @@
         )
 
     def lapsing(self, ahead_s: float, now_s: float) -> list[Member]:
-        """Return the zone's targets to probe, recently requested ones first.
+        """Return the zone's targets to probe, those of services in use first.
 
         Parameters
         ----------
@@ -214,7 +214,7 @@
             yield target_id, member.record.incarnation_ns
 
     def expire(self, now_s: float) -> list[TargetRecord]:
-        """Return targets whose lease ended; remove those past retention."""
+        """Return newly expired targets; remove those past ``TOMBSTONE_S``."""
         ended = [
             member
             for member in self._members.values()
--- a/src/wigeonreach/entry/_pause.py
+++ b/src/wigeonreach/entry/_pause.py
@@ -6,13 +6,13 @@
 
 #: A longer time between two ticks, in seconds, counts as a pause.
 MIN_PAUSE_S = 0.5
-#: How long after a pause, in seconds, messages that are read may be delayed.
+#: How long after a pause, in seconds, a message may be one received during it.
 BACKLOG_S = 1.0
 
 
 @dataclasses.dataclass(slots=True)
 class PauseWatch:
-    """Determine the earliest time at which a message read now arrived.
+    """Determine the earliest time at which a message read now may have arrived.
 
     After a pause the kernel still buffers messages that arrived during it,
     and a reader can't tell them from messages that arrive now.
--- a/src/wigeonreach/entry/_proxy.py
+++ b/src/wigeonreach/entry/_proxy.py
@@ -38,8 +38,8 @@
 from wigeonreach.exceptions import AttemptFailedError, RequestRefusedError
 from wigeonreach.observe import Metrics
 
-# The memory limit in bodies of the largest size.  A body takes up to three
-# times its size while it is read and sent.
+# How many bodies of the largest size the memory limit allows.  A body takes up
+# to three times its size while it is read and sent.
 _MAX_BODIES = 16
 
 
@@ -120,7 +120,7 @@
         Returns
         -------
         aiohttp.web.StreamResponse
-            The target's response, or a refusal.
+            The target's response, or an error response.
         """
         started_s = time.monotonic()
         reply = await self._answer(request, started_s)
--- a/src/wigeonreach/entry/_queue.py
+++ b/src/wigeonreach/entry/_queue.py
@@ -73,8 +73,8 @@
 
     Implements start-time fair queueing: each team has a virtual start time
     that grows by ``1 / weight`` with each request taken, and the team with the
-    lowest one is next.  A team that was idle starts at the current virtual
-    time, so that it can't accumulate credit.
+    lowest one is next.  A team that was idle starts ``1 / weight`` after the
+    current virtual time, so that it can't accumulate credit.
 
     Parameters
     ----------
@@ -106,8 +106,8 @@
         -------
         Ticket or None
             The request that was dropped because the queue is full: the last
-            ordinary one of the team with the most requests per weight, which
-            can be the one that was just added.
+            ordinary one, or else the last urgent one, of the team with the
+            most requests per weight.  It can be the one that was just added.
         """
         team_queue = self._teams.get(ticket.team) or self._add_team(ticket)
         team_queue.append(ticket)
--- a/src/wigeonreach/entry/_replies.py
+++ b/src/wigeonreach/entry/_replies.py
@@ -33,7 +33,7 @@
 
 
 class ErrorBody(msgspec.Struct, frozen=True):
-    """JSON body of every response that does not come from a target."""
+    """JSON body of every error response that the entry itself builds."""
 
     code: int
     name: str
--- a/src/wigeonreach/entry/_request_reading.py
+++ b/src/wigeonreach/entry/_request_reading.py
@@ -123,7 +123,8 @@
     Returns
     -------
     int
-        The declared ``Content-Length``, or ``max_bytes`` without one.
+        The declared ``Content-Length``, or ``max_bytes`` without one; 0 if
+        the request has no body.
 
     Raises
     ------
@@ -148,8 +149,8 @@
         return b''
     try:
         if request.content.is_eof():
-            # The body arrived together with the head, so that a timeout would
-            # only add overhead.
+            # The body arrived together with the head, so a timeout would only
+            # add overhead.
             return await request.read()
         async with asyncio.timeout(timeout_s):
             return await request.read()
--- a/src/wigeonreach/entry/_retry.py
+++ b/src/wigeonreach/entry/_retry.py
@@ -25,7 +25,7 @@
         self._tokens = _INITIAL_TOKENS
 
     def on_first_attempt(self, ratio: float) -> None:
-        """Add the share of a token that one first attempt earns.
+        """Add the fraction of a token that one first attempt earns.
 
         Parameters
         ----------
--- a/src/wigeonreach/entry/_routing.py
+++ b/src/wigeonreach/entry/_routing.py
@@ -80,7 +80,7 @@
         now_s: float,
         exclude: Collection[str] = (),
     ) -> Slot | None:
-        """Acquire a slot of the least loaded target, the nearest first.
+        """Acquire a slot of the least loaded target, first in the own zone.
 
         Parameters
         ----------
@@ -127,7 +127,7 @@
         self._ejector.health(acquired.key).record(ending, now_s)
 
     def is_served(self, service: str, now_s: float) -> bool:
-        """Whether any target of a service may receive requests or be lent."""
+        """Whether a service has a target or may be served by another zone."""
         is_known = any(self._targets_nearest_first(service, now_s))
         return is_known or self.credits.may_spill(service, now_s)
 
@@ -169,8 +169,8 @@
         exclude: Collection[str],
         now_s: float,
     ) -> Slot | None:
-        # There are never more idle connections than requests were in flight at
-        # once, so that limiting requests in flight limits connections too.
+        # A new connection is opened only while all others are in use, so that
+        # limiting the requests in flight limits the connections too.
         candidates = self._candidates(records, exclude, now_s)
         while candidates:
             lowest_cost = min(candidate.cost for candidate in candidates)
--- a/src/wigeonreach/entry/_server.py
+++ b/src/wigeonreach/entry/_server.py
@@ -56,7 +56,7 @@
             max_line_size=_MAX_HEADER_BYTES,
             max_field_size=_MAX_HEADER_BYTES,
             # aiohttp stops this timer at the end of a request's head, not at
-            # its beginning, so that it limits slow senders too.
+            # its beginning, so it limits slow senders as well as idle callers.
             keepalive_timeout=head_timeout_s,
             lingering_time=_LINGER_S,
             read_bufsize=_READ_AHEAD_BYTES,
--- a/src/wigeonreach/entry/_slot_queue.py
+++ b/src/wigeonreach/entry/_slot_queue.py
@@ -43,7 +43,7 @@
         """Release a slot."""
 
     def is_served(self, service: str, now_s: float) -> bool:
-        """Whether any target of a service may receive new requests."""
+        """Whether a service has a target or may be served by another zone."""
 
 
 class SlotQueue:
@@ -96,8 +96,9 @@
         Raises
         ------
         RequestRefusedError
-            Immediately if the request is not expected to finish in time or
-            the queue is full.
+            Immediately if the request is not expected to finish in time or no
+            target serves it.  Later if the queue overflows, if too little time
+            is left, or if no target remains.
         """
         now_s = time.monotonic()
         load = self._load(request, now_s)
@@ -203,7 +204,7 @@
 
     def _schedule_check(self) -> None:
         # Slots also become free without a call of ``release``: a target joins,
-        # or another entry returns borrowed slots.
+        # or another entry lends slots or returns those that it borrowed.
         if self._check_timer is None and len(self._queue):
             loop = asyncio.get_running_loop()
             self._check_timer = loop.call_later(_CHECK_INTERVAL_S, self._check)
--- a/src/wigeonreach/entry/_slots.py
+++ b/src/wigeonreach/entry/_slots.py
@@ -48,7 +48,7 @@
 
     A restarted target is a new process with free slots, so that requests in
     flight at its former incarnation don't count against the new one.  Each
-    request looks up several keys, so that hashing must not run Python code.
+    request looks up several keys, so hashing must not run Python code.
     """
 
     target_id: str
@@ -82,8 +82,8 @@
 class SlotPool:
     """Interchangeable slots of one target that one entry may use.
 
-    ``held_until_s`` has, for each slot whose request was given up while the
-    target may still be working on it, the monotonic time when it is free.
+    ``held_until_s`` has the monotonic time at which each returned slot is free
+    again: later than the return if the target may still be working.
     """
 
     size: int
--- a/src/wigeonreach/entry/_spread.py
+++ b/src/wigeonreach/entry/_spread.py
@@ -106,8 +106,9 @@
     async def is_known_everywhere(self, state: TargetState) -> bool:
         """Whether all entries of the zone know of an announcement.
 
-        For a leave this waits until each of them has confirmed it.  For any
-        other state it suffices that all of them are in contact.
+        For a leave this waits until each of them has confirmed it, but for
+        ``_CONFIRM_TIMEOUT_S`` at most.  For any other state it suffices that
+        all of them are in contact.
         """
         if state is TargetState.LEAVING:
             return await self._peers.confirm(_CONFIRM_TIMEOUT_S)
--- a/src/wigeonreach/entry/_verifier.py
+++ b/src/wigeonreach/entry/_verifier.py
@@ -1,4 +1,4 @@
-"""Probe targets for their state while a peer is out of contact."""
+"""Probe targets whose state is not confirmed by contact with the peers."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class Verifier(mode.Service):
-    """Probes targets whose records are not confirmed.
+    """Probes targets whose records are unconfirmed or soon will be.
 
     Parameters
     ----------
