--- a/src/wigeonreach/entry/_attempt.py
+++ b/src/wigeonreach/entry/_attempt.py
@@ -27,8 +27,8 @@
 
 _KEEPALIVE_S: Final = 30
 _MS_PER_S: Final = 1000
-# A target is considered serving for at most 1.2 s after it was last heard
-# from, and requests to a leaving target must stop within 2 s.
+# Without contact to the peers, a target counts as serving for at most 1.2 s
+# after it confirmed that; requests to a leaving target must stop within 2 s.
 _CONNECT_TIMEOUT_S: Final = 0.7
 _MAX_ANSWER_BYTES: Final = 4 * 1024 * 1024
 _MAX_HEADER_BYTES: Final = 8190
--- a/src/wigeonreach/entry/_credits_daemon.py
+++ b/src/wigeonreach/entry/_credits_daemon.py
@@ -65,8 +65,8 @@
 
         The first announcement of an incarnation proves that no entry, nor an
         earlier incarnation of one, has a request in flight at the target.  It
-        is relayed only on channels that are open now, so that only entry
-        incarnations started before the target was known receive it.
+        is relayed only on channels that are open now, so that no entry receives
+        it that starts later, when requests may already be in flight there.
         """
         if record.sequence != _FIRST_SEQUENCE:
             return
--- a/src/wigeonreach/entry/_credits_takeover.py
+++ b/src/wigeonreach/entry/_credits_takeover.py
@@ -34,7 +34,7 @@
     not.  The shares may be used one lease plus one maximum request duration
     after the first refusal, when all loans and requests of the ended process
     have ended too.  A restarted peer waits for the same time after its start
-    before it uses its shares, and it refuses no connections from then on.
+    before it uses its shares, and it refuses no connections once it listens.
 
     Parameters
     ----------
