--- a/src/wigeonreach/entry/_attempt.py
+++ b/src/wigeonreach/entry/_attempt.py
@@ -1,4 +1,4 @@
-"""Send a request to one target once and read the complete response."""
+"""Send a request once to one target and read the complete response."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
 
 _KEEPALIVE_S: Final = 30
 _MS_PER_S: Final = 1000
-# A target is considered serving for at most 1.2 s after it was last heard
-# from, and requests to a leaving target must stop within 2 s.
+# Without contact to the peers, a target counts as serving for at most 1.2 s
+# after it confirmed that; requests to a leaving target must stop within 2 s.
 _CONNECT_TIMEOUT_S: Final = 0.7
 _MAX_ANSWER_BYTES: Final = 4 * 1024 * 1024
 _MAX_HEADER_BYTES: Final = 8190
@@ -67,7 +67,7 @@
 
 
 class TargetClient:
-    """HTTP client for targets that sends each request exactly once.
+    """HTTP client for targets that sends each request at most once.
 
     Parameters
     ----------
--- a/src/wigeonreach/entry/_credits_takeover.py
+++ b/src/wigeonreach/entry/_credits_takeover.py
@@ -12,7 +12,7 @@
 
 @dataclasses.dataclass(slots=True)
 class RefusalPeriod:
-    """A series of refused connections to a peer without a longer gap.
+    """Refused connections to a peer, each within a lease of the previous.
 
     Both times are monotonic seconds.
     """
@@ -34,7 +34,7 @@
     not.  The shares may be used one lease plus one maximum request duration
     after the first refusal, when all loans and requests of the ended process
     have ended too.  A restarted peer waits for the same time after its start
-    before it uses its shares, and it refuses no connections from then on.
+    before it uses its shares, and it refuses no connections once it listens.
 
     Parameters
     ----------
@@ -69,7 +69,7 @@
             return
         refusal = self._refusals.get(peer)
         if refusal is None or attempted_s - refusal.last_s >= LEASE_S:
-            # A process may have started and ended within a longer gap.
+            # A process may have started and ended within so long a gap.
             self._refusals[peer] = RefusalPeriod(attempted_s, attempted_s)
         else:
             refusal.last_s = attempted_s
