--- a/bench/bench_control_bytes.py
+++ b/bench/bench_control_bytes.py
@@ -1,4 +1,4 @@
-"""Bytes and processor time that changes, restarts and idling cost."""
+"""Measure bytes and CPU time of changes, restarts and idle daemons."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 
 from bench.cluster import Cluster, Shape
 from bench.config_costs import TextCosts, median_s, text_costs
-from bench.config_texts import Changer
-from bench.figures import Figure, at_most, told
+from bench.config_texts import ChangeClient
+from bench.figures import Figure, at_most, unbounded
 from bench.relay import Link, Relay
 from bench.usage import Usage, read_usage
 from wigeonreach import charts
@@ -62,7 +62,7 @@
 
 def _size_figures(costs: Sequence[TextCosts]) -> Iterator[Figure]:
     largest = costs[-1]
-    yield told(_NAME, 'text_bytes', largest.text_bytes, 'bytes')
+    yield unbounded(_NAME, 'text_bytes', largest.text_bytes, 'bytes')
     yield at_most(
         _NAME,
         'change_bytes',
@@ -79,7 +79,7 @@
         _BUDGET_BYTES_PER_S,
         largest.copy_bytes * _CHANGES_PER_S,
     )
-    yield told(
+    yield unbounded(
         _NAME,
         'change_bytes_slope',
         _slope(costs, lambda one: one.delta_bytes),
@@ -94,16 +94,16 @@
     largest = costs[-1]
     slope = _slope(costs, lambda one: one.copy_bytes)
     one_sender = _RESTARTS_PER_S * largest.copy_bytes
-    yield told(_NAME, 'restart_bytes', largest.copy_bytes, 'bytes/restart')
+    yield unbounded(_NAME, 'restart_bytes', largest.copy_bytes, 'bytes/restart')
     # The baseline sends every copy from one process, uncompressed.
-    yield told(
+    yield unbounded(
         _NAME,
         'restarts_bytes_per_s',
         one_sender,
         'bytes/s of one sender',
         _RESTARTS_PER_S * largest.text_bytes,
     )
-    yield told(
+    yield unbounded(
         _NAME,
         'restarts_break_at_text',
         _BUDGET_BYTES_PER_S / _RESTARTS_PER_S / slope,
@@ -147,7 +147,7 @@
         ('read_change', lambda one: one.read_s),
         ('read_whole', lambda one: one.parse_s),
     ):
-        yield told(
+        yield unbounded(
             _NAME,
             f'{name}_slope',
             _slope(costs, cost_of) * _US_PER_S * 1000,
@@ -197,18 +197,22 @@
     cluster: Cluster,
     relay: Relay,
 ) -> list[Figure]:
-    changer = Changer(cluster, pools=5, vms_per_pool=8)
+    changer = ChangeClient(cluster, pools=5, vms_per_pool=8)
     await changer.change()
     await asyncio.to_thread(cluster.wait_until_ready)
     await asyncio.sleep(_IDLE_S / 2)
-    idle = await _watch(cluster, relay, asyncio.sleep(_IDLE_S))
-    busy = await _watch(cluster, relay, _change_often(changer))
+    idle = await _measure_step(cluster, relay, asyncio.sleep(_IDLE_S))
+    busy = await _measure_step(cluster, relay, _submit_changes(changer))
     return list(_daemon_figures(idle, busy))
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Spent:
-    """What a step took: of an entry, of a replica that leads."""
+class _StepCost:
+    """Bytes and CPU time that a step cost an entry and a replica.
+
+    Bytes and the entry's CPU time are means over the processes; the
+    replica's CPU time is the maximum, which is the leader's.
+    """
 
     length_s: float
     follow_bytes: float
@@ -217,11 +221,11 @@
     replica_s: float
 
 
-async def _watch(
+async def _measure_step(
     cluster: Cluster,
     relay: Relay,
     step: Awaitable[None],
-) -> _Spent:
+) -> _StepCost:
     entries = {one.name for one in cluster.entries}
     replicas = {one.name for one in cluster.replicas}
     before = _usages(cluster)
@@ -234,7 +238,7 @@
         name: usage.since(before[name]).processor_s
         for name, usage in after.items()
     }
-    return _Spent(
+    return _StepCost(
         time.monotonic() - started_s,
         (relay.passed_bytes(lambda link: _is_follow(link, entries)) - followed)
         / len(entries),
@@ -256,13 +260,13 @@
     }
 
 
-async def _change_often(changer: Changer) -> None:
+async def _submit_changes(changer: ChangeClient) -> None:
     for _ in range(_CHANGES):
         await changer.change()
     await asyncio.sleep(1)
 
 
-def _daemon_figures(idle: _Spent, busy: _Spent) -> Iterator[Figure]:
+def _daemon_figures(idle: _StepCost, busy: _StepCost) -> Iterator[Figure]:
     yield at_most(
         _NAME,
         'entry_idle_bytes',
@@ -282,7 +286,7 @@
         ('replica', idle.agree_bytes, busy.agree_bytes),
     ):
         extra = moved - still / idle.length_s * busy.length_s
-        yield told(
+        yield unbounded(
             _NAME,
             f'{role}_change_bytes',
             extra / _CHANGES,
@@ -293,13 +297,13 @@
         ('replica', idle.replica_s, busy.replica_s),
     ):
         extra_s = moved_s - still_s / idle.length_s * busy.length_s
-        yield told(
+        yield unbounded(
             _NAME,
             f'{who}_idle_core_share',
             still_s / idle.length_s,
             'cores',
         )
-        yield told(
+        yield unbounded(
             _NAME,
             f'{who}_change_us',
             extra_s / _CHANGES * _US_PER_S,
--- a/bench/capacity_manager.py
+++ b/bench/capacity_manager.py
@@ -1,4 +1,4 @@
-"""Measure what an idle manager costs."""
+"""Measure the CPU time and memory of an idle manager."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import time
 from collections.abc import Iterator
 
-from bench.figures import Figure, told
+from bench.figures import Figure, unbounded
 from bench.managed_cluster import ManagedCluster
 from bench.usage import read_usage
 
@@ -16,7 +16,7 @@
 _FOLDER = pathlib.Path('run/capacity-manager')
 _SETTLE_S = 2.0
 _IDLE_S = 5.0
-# The bench's managers poll the platform this many times faster than usual.
+# Managers of the benchmark poll this many times as often as by default.
 _POLLS_PER_USUAL = 10
 
 
@@ -41,13 +41,13 @@
         later.since(earlier).processor_s
         for later, earlier in zip(after, before, strict=True)
     ]
-    yield told(
+    yield unbounded(
         _NAME,
         'manager_memory_bytes',
         statistics.median(usage.memory_bytes for usage in after),
         'bytes',
     )
-    yield told(
+    yield unbounded(
         _NAME,
         'manager_idle_core_share',
         statistics.median(spent_s) / _IDLE_S / _POLLS_PER_USUAL,
--- a/bench/fleet_large.py
+++ b/bench/fleet_large.py
@@ -1,4 +1,4 @@
-"""Build fleets of many VMs and take waves through them."""
+"""Build large fleets and run maintenance waves over them."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LargeFleet:
-    """A fleet with a spare of a zone and a half in each pool's promise."""
+    """A fleet whose promises leave one and a half zones spare per pool."""
 
     vms: int
     zones: int
@@ -82,17 +82,17 @@
 
     @property
     def maintained(self) -> int:
-        """How many VMs went back to their pools."""
+        """Number of VMs that were restored to their pools."""
         return len(self.restored)
 
-    def run(self, most_vms: int) -> None:
-        """Run until so many VMs are maintained, or the wave has ended."""
+    def run(self, max_vms: int) -> None:
+        """Run until ``max_vms`` VMs are maintained or the wave has ended."""
         names = tuple(f'vm-{number:05}' for number in range(self.fleet.vms))
         due: list[tuple[float, int, Message]] = [
             (0.0, 0, StartWave('start', 'w', names)),
         ]
         numbers = iter(range(1, 10**9))
-        while due and self.maintained < most_vms:
+        while due and self.maintained < max_vms:
             at_s, _, message = heapq.heappop(due)
             self.now_s = at_s
             for effect in self._decide(message):
