--- a/bench/bench_deciding.py
+++ b/bench/bench_deciding.py
@@ -47,7 +47,7 @@
 _WORKERS_PER_JOB = 40
 _US_PER_S = 1_000_000
 # Maximum growth of the cost of a heartbeat from 30 to 1,000 workers; before
-# leases, VMs and rooms were indexed, it was 11 times.
+# leases, VMs and capacities were indexed, it was 11 times.
 _MAX_GROWTH = 2.0
 _TASK = StepSpec(6, cpu_millicores=2000, memory_mb=512, estimate_ms=600)
 _SECOND = msgspec.structs.replace(_TASK, after=(0,))
--- a/bench/bench_urgent.py
+++ b/bench/bench_urgent.py
@@ -11,8 +11,8 @@
 from unittest import mock
 
 from bench.figures import Figure, at_most, unbounded
+from wigeonreach._resources import Resources
 from wigeonreach.fleet._placement import Placement
-from wigeonreach._room import Room
 from wigeonreach.fleet._placement_model import (
     Effect,
     Event,
@@ -33,7 +33,7 @@
 _BENCH = 'urgent'
 _BOUND_S = 1.6
 _GIB = 1024.0**3
-_ROOM = Room(16, 32 * _GIB)
+_VM_RESOURCES = Resources(16, 32 * _GIB)
 # Time that the platform takes for each action, in seconds.
 _START_S = 0.15
 _THROTTLE_S = 0.2
@@ -60,7 +60,7 @@
 
     name: str
     held_ratio: float
-    makes_room: bool
+    preempts: bool
 
 
 @dataclasses.dataclass(slots=True)
@@ -153,10 +153,10 @@
 
 
 _POLICIES = (
-    _Policy('none', 0, makes_room=False),
-    _Policy('held', 0.1, makes_room=False),
-    _Policy('made', 0, makes_room=True),
-    _Policy('both', 0.1, makes_room=True),
+    _Policy('none', 0, preempts=False),
+    _Policy('held', 0.1, preempts=False),
+    _Policy('made', 0, preempts=True),
+    _Policy('both', 0.1, preempts=True),
 )
 
 
@@ -225,14 +225,14 @@
             simulated.submitted_s[job.job_id] = at_s
         simulated.plan(at_s, JobSubmitted(job))
     simulated.plan(1, Tick())
-    with _room_making(makes_room=policy.makes_room):
+    with _preemption(preempts=policy.preempts):
         simulated.run()
     return simulated
 
 
 @contextlib.contextmanager
-def _room_making(*, makes_room: bool) -> Iterator[None]:
-    if makes_room:
+def _preemption(*, preempts: bool) -> Iterator[None]:
+    if preempts:
         yield
         return
     with (
@@ -259,7 +259,7 @@
         f'team-{rng.randrange(1200)}',
         f'image-{rng.randrange(300)}',
         'pool',
-        Room(processors, 1.5 * processors * _GIB),
+        Resources(processors, 1.5 * processors * _GIB),
         is_urgent=is_urgent,
         can_wait=rng.randrange(10) < 4,
     )
@@ -269,7 +269,7 @@
     quotas = {f'team-{number}': 16.0 for number in range(1200)}
     placement = Placement(quotas, held_ratio=held_ratio)
     for number in range(workers):
-        worker = Worker(f'vm-{number}', 'pool', 'a', 'a-0', _ROOM)
+        worker = Worker(f'vm-{number}', 'pool', 'a', 'a-0', _VM_RESOURCES)
         placement.handle(WorkerJoined(worker), 0)
     return placement
 
@@ -318,16 +318,18 @@
 
 def _scan_us(workers: int) -> float:
     """Return the cost of scanning all workers for the tightest fit."""
-    rooms = [Room(16 * (number % 3) / 2, _GIB) for number in range(workers)]
-    need = Room(8, _GIB)
+    workers_free = [
+        Resources(16 * (number % 3) / 2, _GIB) for number in range(workers)
+    ]
+    need = Resources(8, _GIB)
     begun_s = time.perf_counter()
     for _ in range(_SCANS):
         min(
-            (room.processors for room in rooms if room.holds(need)),
+            (free.processors for free in workers_free if free.covers(need)),
             default=0.0,
         )
     return (time.perf_counter() - begun_s) / _SCANS * 1e6
 
 
 def _sized(name: str) -> Job:
-    return Job(name, 'team-0', 'image', 'pool', Room(8, 8 * _GIB))
+    return Job(name, 'team-0', 'image', 'pool', Resources(8, 8 * _GIB))
--- a/src/wigeonreach/_room.py
+++ b/src/wigeonreach/_resources.py
@@ -12,30 +12,30 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Room:
+class Resources:
     """Processors, memory and accelerators, either available or required."""
 
     processors: float
     memory_bytes: float
     accelerators: int = 0
 
-    def __add__(self, other: Room) -> Room:
+    def __add__(self, other: Resources) -> Resources:
         """Return the sum of both."""
-        return Room(
+        return Resources(
             self.processors + other.processors,
             self.memory_bytes + other.memory_bytes,
             self.accelerators + other.accelerators,
         )
 
-    def __sub__(self, other: Room) -> Room:
+    def __sub__(self, other: Resources) -> Resources:
         """Return the difference, which may be negative."""
-        return Room(
+        return Resources(
             self.processors - other.processors,
             self.memory_bytes - other.memory_bytes,
             self.accelerators - other.accelerators,
         )
 
-    def holds(self, need: Room) -> bool:
+    def covers(self, need: Resources) -> bool:
         """Whether a demand fits in every dimension."""
         return (
             self.processors + _ROUNDING >= need.processors
@@ -43,7 +43,7 @@
             and self.accelerators >= need.accelerators
         )
 
-    def count(self, need: Room) -> int:
+    def count(self, need: Resources) -> int:
         """Return how many copies of a demand fit; an empty one always fits."""
         counts = [_MANY]
         if need.processors:
@@ -54,9 +54,9 @@
             counts.append(self.accelerators // need.accelerators)
         return max(min(counts), 0)
 
-    def scaled(self, processors: float, memory: float) -> Room:
+    def scaled(self, processors: float, memory: float) -> Resources:
         """Return processors and memory scaled; accelerators are indivisible."""
-        return Room(
+        return Resources(
             self.processors * processors,
             self.memory_bytes * memory,
             self.accelerators,
@@ -67,4 +67,4 @@
     return math.floor(ratio + _ROUNDING)
 
 
-NO_ROOM = Room(0.0, 0.0)  # noqa: WPS432 - zero in each unit
+NO_RESOURCES = Resources(0.0, 0.0)  # noqa: WPS432 - zero in each unit
--- a/src/wigeonreach/fleet/_job_usage.py
+++ b/src/wigeonreach/fleet/_job_usage.py
@@ -4,7 +4,7 @@
 
 import dataclasses
 
-from wigeonreach._room import Room
+from wigeonreach._resources import Resources
 from wigeonreach.fleet._placement_model import Job
 
 # Observed range of the ratio of used to declared resources.
@@ -35,7 +35,7 @@
         """Start without any reports."""
         self._families: dict[str, _FamilyUsage] = {}
 
-    def estimate(self, job: Job) -> Room:
+    def estimate(self, job: Job) -> Resources:
         """Return the resources that a job is expected to use.
 
         The declared size is used until the family has enough reports.
@@ -48,14 +48,14 @@
             _clamp(usage.memory_ratio * _MARGIN),
         )
 
-    def min_estimate(self, job: Job) -> Room:
+    def min_estimate(self, job: Job) -> Resources:
         """Return the lowest plausible resource usage of a job."""
         usage = self._families.get(job.family)
         if usage is None or usage.reports < _MIN_REPORTS:
             return job.declared.scaled(MIN_RATIO, MIN_RATIO)
         return self.estimate(job)
 
-    def observe(self, job: Job, used: Room) -> Room:
+    def observe(self, job: Job, used: Resources) -> Resources:
         """Update the ratios of a job's family and return what the job needs.
 
         Parameters
@@ -67,7 +67,7 @@
 
         Returns
         -------
-        Room
+        Resources
             The used resources plus a margin, at least the family's estimate.
         """
         usage = self._families.setdefault(job.family, _FamilyUsage())
@@ -85,7 +85,7 @@
         usage.reports += 1
         expected = self.estimate(job)
         observed = used.scaled(_MARGIN, _MARGIN)
-        return Room(
+        return Resources(
             max(observed.processors, expected.processors),
             max(observed.memory_bytes, expected.memory_bytes),
             declared.accelerators,
--- a/src/wigeonreach/fleet/_placement_index.py
+++ b/src/wigeonreach/fleet/_placement_index.py
@@ -9,7 +9,7 @@
 
 from sortedcontainers import SortedDict, SortedList
 
-from wigeonreach._room import Room
+from wigeonreach._resources import Resources
 
 _MAX_CANDIDATES = 16
 # Accelerators, then processors and memory as powers of two.
@@ -27,9 +27,9 @@
     def __init__(self) -> None:
         """Start without workers."""
         self._groups: SortedDict = SortedDict()
-        self._free: dict[str, Room] = {}
+        self._free: dict[str, Resources] = {}
 
-    def put(self, name: str, free: Room) -> None:
+    def put(self, name: str, free: Resources) -> None:
         """Set the free resources of a worker."""
         previous = self._free.get(name)
         if previous == free:
@@ -57,7 +57,7 @@
 
     def find(
         self,
-        need: Room,
+        need: Resources,
         excluded: Container[str] = (),
         max_candidates: int | None = _MAX_CANDIDATES,
     ) -> str | None:
@@ -78,12 +78,12 @@
             Name of the worker, or ``None`` if none was found.
         """
         for name in self._candidates(need, max_candidates):
-            if name not in excluded and self._free[name].holds(need):
+            if name not in excluded and self._free[name].covers(need):
                 return name
         return None
 
     def _candidates(
-        self, need: Room, max_candidates: int | None
+        self, need: Resources, max_candidates: int | None
     ) -> Iterator[str]:
         min_class = _size_class(need)
         for size_class in self._groups.irange(minimum=min_class):
@@ -96,7 +96,7 @@
                 yield entry[1]
 
 
-def _size_class(free: Room) -> _SizeClass:
+def _size_class(free: Resources) -> _SizeClass:
     return (
         max(free.accelerators, 0),
         _power_of_two(free.processors),
--- a/src/wigeonreach/fleet/_placement_jobs.py
+++ b/src/wigeonreach/fleet/_placement_jobs.py
@@ -5,7 +5,7 @@
 import dataclasses
 import enum
 
-from wigeonreach._room import NO_ROOM, Room
+from wigeonreach._resources import NO_RESOURCES, Resources
 from wigeonreach.charts import load_chart
 from wigeonreach.codes import ResultCode
 from wigeonreach.exceptions import ChartError
@@ -67,7 +67,7 @@
     lease_token: int = 0
     lease_ends_s: float = 0.0
     started_at_s: float = 0.0
-    need: Room = NO_ROOM
+    need: Resources = NO_RESOURCES
     reason: Reason | None = None
     # No further job is preempted for it earlier, as stopping takes time.
     next_preemption_s: float = 0.0
--- a/src/wigeonreach/fleet/_placement_model.py
+++ b/src/wigeonreach/fleet/_placement_model.py
@@ -6,7 +6,7 @@
 import enum
 from typing import TypeAlias
 
-from wigeonreach._room import Room
+from wigeonreach._resources import Resources
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -17,7 +17,7 @@
     pool: str
     zone: str
     rack: str
-    room: Room
+    resources: Resources
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -42,7 +42,7 @@
     team: str
     family: str
     pool: str
-    declared: Room
+    declared: Resources
     is_urgent: bool = False
     can_wait: bool = False
     is_idempotent: bool = True
@@ -124,7 +124,7 @@
 
     job_id: str
     lease_token: int
-    used: Room
+    used: Resources
     measured_at_s: float
 
 
--- a/src/wigeonreach/fleet/_placement_pool.py
+++ b/src/wigeonreach/fleet/_placement_pool.py
@@ -6,7 +6,7 @@
 import enum
 from collections.abc import Container, Iterator
 
-from wigeonreach._room import NO_ROOM, Room
+from wigeonreach._resources import NO_RESOURCES, Resources
 from wigeonreach.fleet._placement_index import ResourceIndex
 from wigeonreach.fleet._placement_model import Job, Worker
 
@@ -31,27 +31,27 @@
     """Resources of a worker that are allocated to one job."""
 
     job_id: str
-    need: Room
+    need: Resources
     is_preemptible: bool
     ratio: float = 1.0
 
     @property
-    def allocated(self) -> Room:
+    def allocated(self) -> Resources:
         """Resources that count as used."""
         return self.need.scaled(self.ratio, 1)
 
     @property
-    def throttleable(self) -> Room:
+    def throttleable(self) -> Resources:
         """Resources that throttling the job would free."""
         if not self.is_preemptible:
-            return NO_ROOM
+            return NO_RESOURCES
         freed = max(0, self.ratio - THROTTLE_RATIO)
-        return Room(self.need.processors * freed, 0)
+        return Resources(self.need.processors * freed, 0)
 
     @property
-    def stoppable(self) -> Room:
+    def stoppable(self) -> Resources:
         """Resources that stopping the job would free."""
-        return self.allocated if self.is_preemptible else NO_ROOM
+        return self.allocated if self.is_preemptible else NO_RESOURCES
 
 
 @dataclasses.dataclass(slots=True)
@@ -61,16 +61,16 @@
     worker: Worker
     heard_s: float = 0.0
     lost_s: float = float('-inf')
-    used: Room = NO_ROOM
-    throttleable: Room = NO_ROOM
-    stoppable: Room = NO_ROOM
+    used: Resources = NO_RESOURCES
+    throttleable: Resources = NO_RESOURCES
+    stoppable: Resources = NO_RESOURCES
     allocations: dict[str, Allocation] = dataclasses.field(default_factory=dict)
     closed: set[CloseReason] = dataclasses.field(default_factory=set)
 
     @property
-    def free(self) -> Room:
+    def free(self) -> Resources:
         """Unused resources; negative if the worker is overcommitted."""
-        return self.worker.room - self.used
+        return self.worker.resources - self.used
 
     def add(self, allocation: Allocation) -> None:
         """Add a job's allocation."""
@@ -86,9 +86,9 @@
             return
         if not self.allocations:
             # Rounding errors must not leave an empty worker partly used.
-            self.used = NO_ROOM
-            self.throttleable = NO_ROOM
-            self.stoppable = NO_ROOM
+            self.used = NO_RESOURCES
+            self.throttleable = NO_RESOURCES
+            self.stoppable = NO_RESOURCES
             return
         self.used -= allocation.allocated
         self.throttleable -= allocation.throttleable
@@ -194,7 +194,7 @@
     def find_free(
         self,
         job: Job,
-        need: Room,
+        need: Resources,
         excluded: Container[str],
         max_candidates: int | None,
     ) -> str | None:
@@ -207,36 +207,40 @@
 
     def find_throttled(
         self,
-        need: Room,
+        need: Resources,
         excluded: Container[str],
     ) -> str | None:
         """Return a worker on which a need fits once jobs are throttled."""
         return self._after_throttling.find(need, excluded)
 
-    def find_stopped(self, need: Room, excluded: Container[str]) -> str | None:
+    def find_stopped(
+        self, need: Resources, excluded: Container[str]
+    ) -> str | None:
         """Return a worker on which a need fits once jobs are stopped."""
         return self._after_stopping.find(need, excluded)
 
-    def find_total(self, need: Room) -> Room | None:
+    def find_total(self, need: Resources) -> Resources | None:
         """Return the total resources of a worker that could hold a need."""
         name = self._total.find(need, (), None)
-        return None if name is None else self._workers[name].worker.room
+        return None if name is None else self._workers[name].worker.resources
 
     def _refresh(self, state: WorkerState) -> None:
         name = state.worker.name
-        room = state.worker.room
-        self._total.put(name, room)
+        resources = state.worker.resources
+        self._total.put(name, resources)
         free = state.free
-        reserved = room.scaled(self._held_ratio, 0)
-        self._put(self._ordinary, state, free - Room(reserved.processors, 0))
+        reserved = resources.scaled(self._held_ratio, 0)
+        self._put(
+            self._ordinary, state, free - Resources(reserved.processors, 0)
+        )
         self._put(self._free, state, free)
         self._put(self._after_throttling, state, free + state.throttleable)
         self._put(self._after_stopping, state, free + state.stoppable)
 
     def _put(
-        self, index: ResourceIndex, state: WorkerState, room: Room
+        self, index: ResourceIndex, state: WorkerState, resources: Resources
     ) -> None:
-        if state.closed or not room.holds(NO_ROOM):
+        if state.closed or not resources.covers(NO_RESOURCES):
             index.remove(state.worker.name)
         else:
-            index.put(state.worker.name, room)
+            index.put(state.worker.name, resources)
--- a/src/wigeonreach/fleet/_placement_scheduler.py
+++ b/src/wigeonreach/fleet/_placement_scheduler.py
@@ -6,7 +6,7 @@
 import dataclasses
 from collections.abc import Mapping
 
-from wigeonreach._room import NO_ROOM, Room
+from wigeonreach._resources import NO_RESOURCES, Resources
 from wigeonreach.fleet._job_usage import UsageEstimator
 from wigeonreach.fleet._placement_jobs import JobEvent, JobRecord
 from wigeonreach.fleet._placement_model import (
@@ -117,7 +117,7 @@
         self.quota.add_usage(job.team, -record.need.processors)
         self.quota.mark_preemptible(job.team, job.job_id, is_running=False)
         record.worker = ''
-        record.need = NO_ROOM
+        record.need = NO_RESOURCES
 
     def adopt(self, record: JobRecord, worker: str, lease_token: int) -> None:
         """Account for a job that already runs on a worker."""
@@ -132,7 +132,7 @@
         )
         self.quota.add_usage(job.team, record.need.processors)
 
-    def resize(self, record: JobRecord, need: Room) -> list[Effect]:
+    def resize(self, record: JobRecord, need: Resources) -> list[Effect]:
         """Change the allocation of a running job to its observed need."""
         if record.worker not in self.workers:
             return []
@@ -223,7 +223,7 @@
         self._start(record, worker, need, cycle)
         return True
 
-    def _estimate_need(self, record: JobRecord) -> Room:
+    def _estimate_need(self, record: JobRecord) -> Resources:
         """Return the resources to allocate to a job.
 
         A job whose estimate exceeds every worker gets a whole worker, if its
@@ -239,7 +239,7 @@
         self,
         record: JobRecord,
         worker: str,
-        need: Room,
+        need: Resources,
         cycle: SchedulingCycle,
     ) -> None:
         job = record.job
--- a/src/wigeonreach/fleet/_placement_yield.py
+++ b/src/wigeonreach/fleet/_placement_yield.py
@@ -5,7 +5,7 @@
 import dataclasses
 from collections.abc import Container, Mapping
 
-from wigeonreach._room import NO_ROOM, Room
+from wigeonreach._resources import NO_RESOURCES, Resources
 from wigeonreach.fleet._placement_jobs import JobEvent, JobRecord, JobState
 from wigeonreach.fleet._placement_model import (
     Effect,
@@ -45,7 +45,7 @@
 
     def throttle_for(
         self,
-        need: Room,
+        need: Resources,
         excluded: Container[str],
     ) -> tuple[str | None, list[Effect]]:
         """Throttle jobs of one worker so that a need fits immediately.
@@ -60,7 +60,9 @@
             return None, []
         return worker, self._throttle(worker, need)
 
-    def stop_for(self, need: Room, excluded: Container[str]) -> list[Effect]:
+    def stop_for(
+        self, need: Resources, excluded: Container[str]
+    ) -> list[Effect]:
         """Checkpoint and stop jobs of one worker, so that a need will fit."""
         worker = self._workers.find_stopped(need, excluded)
         if worker is None:
@@ -69,7 +71,7 @@
         state = self._workers.state(worker)
         expected_free = state.free
         for allocation in tuple(state.allocations.values()):
-            if expected_free.holds(need):
+            if expected_free.covers(need):
                 break
             record = self._jobs[allocation.job_id]
             if allocation.is_preemptible and record.state is JobState.RUNNING:
@@ -77,14 +79,14 @@
                 effects.append(self.stop(record, Reason.GAVE_WAY))
         return effects
 
-    def reclaim(self, need: Room) -> list[Effect]:
+    def reclaim(self, need: Resources) -> list[Effect]:
         """Stop one job of a team above its quota, so that a need will fit."""
         for job_id in self._quota.borrowed_jobs(_MAX_BORROWERS):
             borrower = self._jobs[job_id]
             if borrower.state is not JobState.RUNNING:
                 continue
             free = self._workers.state(borrower.worker).free + borrower.need
-            if free.holds(need):
+            if free.covers(need):
                 return [self.stop(borrower, Reason.GAVE_WAY)]
         return []
 
@@ -111,7 +113,7 @@
         """Throttle preemptible jobs if a worker's processors are exceeded."""
         if self._workers.state(worker).free.processors >= 0:
             return []
-        return self._throttle(worker, NO_ROOM)
+        return self._throttle(worker, NO_RESOURCES)
 
     def lift_throttling(self, worker: str) -> list[Effect]:
         """Lift the throttling of a worker's jobs as far as they fit."""
@@ -127,11 +129,11 @@
                 effects.append(self._set_ratio(allocation, 1))
         return effects
 
-    def _throttle(self, worker: str, need: Room) -> list[Effect]:
+    def _throttle(self, worker: str, need: Resources) -> list[Effect]:
         effects: list[Effect] = []
         state = self._workers.state(worker)
         for allocation in tuple(state.allocations.values()):
-            if state.free.holds(need):
+            if state.free.covers(need):
                 break
             if allocation.throttleable.processors > 0:
                 effects.append(self._set_ratio(allocation, THROTTLE_RATIO))
--- a/src/wigeonreach/jobs/_model.py
+++ b/src/wigeonreach/jobs/_model.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from wigeonreach._room import Room
+from wigeonreach._resources import Resources
 from wigeonreach.workspaces import Amounts, WorkspaceSpec
 
 MILLICORES = 1000
@@ -73,10 +73,10 @@
         return self.has_copies and not self.is_gang
 
     @property
-    def room(self) -> Room:
+    def resources(self) -> Resources:
         """Resources that one task reserves on a worker."""
         millicores = 0 if self.is_filler else self.cpu_millicores
-        return Room(
+        return Resources(
             millicores / MILLICORES,
             self.memory_mb * MEBIBYTE,
             self.accelerators,
@@ -89,7 +89,7 @@
         return Amounts(millicores, self.memory_mb, self.accelerators)
 
     @property
-    def least_start(self) -> Amounts:
+    def min_start_amounts(self) -> Amounts:
         """Resources of the smallest startable unit: one task, or a gang."""
         return self.amounts.times(self.count if self.is_gang else 1)
 
@@ -202,14 +202,14 @@
 
     Attributes
     ----------
-    guards_room
+    rejects_overload
         Whether its workers refuse tasks that exceed their free resources.
     is_standby
         Whether its VMs are powered off and cost nothing.
     """
 
     name: str
-    guards_room: bool = True
+    rejects_overload: bool = True
     is_standby: bool = False
 
 
--- a/src/wigeonreach/jobs/_store.py
+++ b/src/wigeonreach/jobs/_store.py
@@ -245,7 +245,7 @@
             return True
         used = self.use.used(job.workspace) + extra
         cap = self.cap_of(job)
-        return fits_cap(cap, used, step.least_start, step.amounts)
+        return fits_cap(cap, used, step.min_start_amounts, step.amounts)
 
     def assign(self, worker: str, key: TaskKey, run: int) -> None:
         """Assign a run to a worker and count its resources."""
--- a/src/wigeonreach/lab/_checks.py
+++ b/src/wigeonreach/lab/_checks.py
@@ -5,9 +5,9 @@
 import collections
 from collections.abc import Iterable
 
-from wigeonreach._room import NO_ROOM
+from wigeonreach._resources import NO_RESOURCES
 from wigeonreach.jobs import JobStore, TaskKey
-from wigeonreach.scheduling._incarnation import room_of
+from wigeonreach.scheduling._incarnation import resources_of
 from wigeonreach.standins import StandInWorker
 from wigeonreach.wire._worker_messages import StartOrder
 
@@ -67,6 +67,8 @@
 
 def _check_capacity(worker: StandInWorker, store: JobStore) -> None:
     specs = [store.spec_of(key) for key, _ in worker.running]
-    needs = [spec.room for spec in specs if spec is not None]
-    if not room_of(worker.last_report).holds(sum(needs, start=NO_ROOM)):
+    needs = [spec.resources for spec in specs if spec is not None]
+    if not resources_of(worker.last_report).covers(
+        sum(needs, start=NO_RESOURCES)
+    ):
         raise BrokenRuleError(f'{worker.vm}: runs exceed its capacity')
--- a/src/wigeonreach/lab/_variants.py
+++ b/src/wigeonreach/lab/_variants.py
@@ -88,8 +88,8 @@
     return []
 
 
-def _all_rooms(*asked: object) -> object:
-    """Return the rooms that ``DataLocality.local_rooms`` is given last."""
+def _all_workers(*asked: object) -> object:
+    """Return the workers that ``DataLocality.nearby_workers`` is given last."""
     return asked[-1]
 
 
@@ -101,7 +101,9 @@
             Variant('as it is'),
             _without('triage', '_ready:deferred_occurrences', _no_set),
             _without(
-                'near waiting', '_locality:DataLocality.local_rooms', _all_rooms
+                'near waiting',
+                '_locality:DataLocality.nearby_workers',
+                _all_workers,
             ),
             _without('lookahead', 'pooling._pools:_LOOKAHEAD_S', 0.0),
             _without('give-back', 'pooling._pools:_SETTLE_S', math.inf),
--- a/src/wigeonreach/manager/_job_schema.py
+++ b/src/wigeonreach/manager/_job_schema.py
@@ -7,7 +7,7 @@
 import msgspec
 import pydantic
 
-from wigeonreach._room import Room
+from wigeonreach._resources import Resources
 from wigeonreach.fleet._placement_model import Job
 
 _Name = Annotated[str, pydantic.StringConstraints(min_length=1, max_length=99)]
@@ -38,7 +38,7 @@
             team=self.team,
             family=self.family,
             pool=self.pool,
-            declared=Room(
+            declared=Resources(
                 self.processors,
                 self.memory_bytes,
                 self.accelerators,
--- a/src/wigeonreach/manager/_jobs.py
+++ b/src/wigeonreach/manager/_jobs.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterator
 from types import MappingProxyType
 
-from wigeonreach._room import Room
+from wigeonreach._resources import Resources
 from wigeonreach.exceptions import PlatformError
 from wigeonreach.fleet._placement import Placement
 from wigeonreach.fleet._placement_jobs import DONE_STATES, JobRecord, JobState
@@ -179,7 +179,7 @@
             team='',
             family='',
             pool=self._pool_of[task.worker],
-            declared=Room(task.used_processors, task.used_memory_bytes),
+            declared=Resources(task.used_processors, task.used_memory_bytes),
             is_idempotent=False,
         )
 
@@ -189,7 +189,7 @@
             pool=self._pool_of[view.name],
             zone=view.zone,
             rack=view.rack,
-            room=Room(
+            resources=Resources(
                 view.processors,
                 view.memory_bytes,
                 view.accelerators,
@@ -226,7 +226,7 @@
             yield UsageReported(
                 task.job_id,
                 task.lease_token,
-                Room(task.used_processors, task.used_memory_bytes),
+                Resources(task.used_processors, task.used_memory_bytes),
                 task.measured_at_s,
             )
 
--- a/src/wigeonreach/scheduling/_advice.py
+++ b/src/wigeonreach/scheduling/_advice.py
@@ -13,7 +13,7 @@
 
 from wigeonreach.jobs import TaskKey
 from wigeonreach.scheduling._ready import ReadyStep
-from wigeonreach.scheduling._room_left import WorkerRoom
+from wigeonreach.scheduling._worker_capacity import WorkerCapacity
 
 # Limits the workers named in one call.  Each call names more workers than there
 # are tasks, as the advisor may refuse some.
@@ -94,19 +94,19 @@
     def allowed(
         self,
         step: ReadyStep,
-        rooms: Iterable[WorkerRoom],
+        workers: Iterable[WorkerCapacity],
         now_s: float,
-    ) -> list[WorkerRoom]:
+    ) -> list[WorkerCapacity]:
         """Return the workers with a ticket; request more if needed."""
         key = TaskKey(step.job.spec.job_id, step.occurrence, step.step, 0)
-        all_rooms = list(rooms)
+        candidates = list(workers)
         with_ticket = [
-            room
-            for room in all_rooms
-            if self.ticket(key, room.incarnation.report.worker, now_s)
+            worker
+            for worker in candidates
+            if self.ticket(key, worker.incarnation.report.worker, now_s)
         ]
         if len(with_ticket) < len(step.waiting):
-            self._request_tickets(step, all_rooms, now_s)
+            self._request_tickets(step, candidates, now_s)
         return with_ticket
 
     def questions(self) -> list[Question]:
@@ -143,7 +143,7 @@
     def _request_tickets(
         self,
         step: ReadyStep,
-        rooms: list[WorkerRoom],
+        candidates: list[WorkerCapacity],
         now_s: float,
     ) -> None:
         name = (step.job.spec.job_id, step.occurrence, step.step)
@@ -153,10 +153,14 @@
         count = min(
             len(step.waiting) * _WORKERS_PER_TASK, _MAX_WORKERS_PER_CALL
         )
-        fitting = [room for room in rooms if room.left.holds(step.spec.room)]
-        fitting.sort(key=lambda room: -room.left.processors)
+        fitting = [
+            worker
+            for worker in candidates
+            if worker.free.covers(step.spec.resources)
+        ]
+        fitting.sort(key=lambda worker: -worker.free.processors)
         workers = tuple(
-            room.incarnation.report.worker for room in fitting[:count]
+            worker.incarnation.report.worker for worker in fitting[:count]
         )
         if workers:
             self._pending[name] = Question(name, workers)
--- a/src/wigeonreach/scheduling/_open_rooms.py
+++ b/src/wigeonreach/scheduling/_available_workers.py
@@ -6,22 +6,22 @@
 from typing import TypeAlias
 
 from wigeonreach.jobs import JobStore, Run
+from wigeonreach.scheduling._capacity_cache import WorkerCapacityCache
 from wigeonreach.scheduling._crashes import CrashWatch
 from wigeonreach.scheduling._incarnation import Incarnation
 from wigeonreach.scheduling._pacing import Pacing
 from wigeonreach.scheduling._placing import close_trial_workers
 from wigeonreach.scheduling._progress import ProgressWatch
 from wigeonreach.scheduling._quarantine import WorkerQuarantine
-from wigeonreach.scheduling._room_cache import RoomCache
-from wigeonreach.scheduling._room_left import WorkerRoom
 from wigeonreach.scheduling._vms import ORDER_LASTS_S
+from wigeonreach.scheduling._worker_capacity import WorkerCapacity
 from wigeonreach.scheduling._workers import Workers
 
 # Free capacity of the workers of each service, by service name.
-PoolRooms: TypeAlias = dict[str, list[WorkerRoom]]
+CapacityByService: TypeAlias = dict[str, list[WorkerCapacity]]
 
 
-class OpenRooms:
+class AvailableWorkers:
     """Free capacity of the workers that may be given tasks.
 
     Parameters
@@ -58,19 +58,19 @@
         self._pacing = pacing
         self._quarantine = quarantine
         self._crashes = crashes
-        self._cache = RoomCache(store, progress)
+        self._cache = WorkerCapacityCache(store, progress)
 
     def forget(self, worker: str) -> None:
         """Drop a worker's cached capacity."""
         self._cache.forget(worker)
 
-    def of(
+    def by_service(
         self,
         services: Collection[str],
         cordoned: Collection[str],
         stopping: Collection[Run],
         now_s: float,
-    ) -> PoolRooms:
+    ) -> CapacityByService:
         """Return the free capacity of each worker of some services.
 
         Parameters
@@ -86,7 +86,7 @@
 
         Returns
         -------
-        PoolRooms
+        CapacityByService
             Free capacity by service, without the workers that accept no tasks
             now.
         """
@@ -109,22 +109,22 @@
         incarnations: Collection[Incarnation],
         stopping: Collection[Run],
         now_s: float,
-    ) -> list[WorkerRoom]:
+    ) -> list[WorkerCapacity]:
         names = [incarnation.report.worker for incarnation in incarnations]
         quarantined = self._quarantine.quarantined(names, now_s)
         slow = self._progress.slow(names, now_s)
-        rooms = [
-            self._cache.of(incarnation, stopping)
+        workers = [
+            self._cache.get(incarnation, stopping)
             for incarnation in incarnations
             if incarnation.report.worker not in quarantined
         ]
-        for room in rooms:
-            report = room.incarnation.report
+        for worker in workers:
+            report = worker.incarnation.report
             is_paced = self._pacing.is_paced(report.worker)
-            room.is_slow = report.worker in slow or is_paced
-            room.has_crashed_lately = self._crashes.has_crashed_lately(
+            worker.is_slow = report.worker in slow or is_paced
+            worker.has_crashed_lately = self._crashes.has_crashed_lately(
                 report.vm_or_address,
                 now_s,
             )
-        close_trial_workers(rooms)
-        return rooms
+        close_trial_workers(workers)
+        return workers
--- a/src/wigeonreach/scheduling/_room_cache.py
+++ b/src/wigeonreach/scheduling/_capacity_cache.py
@@ -12,10 +12,13 @@
 from wigeonreach.jobs import JobStore, Run
 from wigeonreach.scheduling._incarnation import Incarnation
 from wigeonreach.scheduling._progress import ProgressWatch
-from wigeonreach.scheduling._room_left import WorkerRoom, room_left
+from wigeonreach.scheduling._worker_capacity import (
+    WorkerCapacity,
+    worker_capacity,
+)
 
 
-class RoomCache:
+class WorkerCapacityCache:
     """Cached free capacity of all workers, for one term.
 
     Parameters
@@ -30,17 +33,17 @@
         """Start with an empty cache."""
         self._store = store
         self._progress = progress
-        self._rooms: dict[str, WorkerRoom] = {}
+        self._capacities: dict[str, WorkerCapacity] = {}
 
     def forget(self, worker: str) -> None:
         """Drop a worker's cached capacity."""
-        self._rooms.pop(worker, None)
+        self._capacities.pop(worker, None)
 
-    def of(
+    def get(
         self,
         incarnation: Incarnation,
         stopping: Collection[Run],
-    ) -> WorkerRoom:
+    ) -> WorkerCapacity:
         """Return a worker's free capacity beside everything it may run.
 
         A caller that places unrecorded tasks on the returned object has to
@@ -48,19 +51,19 @@
         """
         self._forget_reassigned()
         worker = incarnation.report.worker
-        room = self._rooms.get(worker)
-        if room is None:
-            room = room_left(incarnation, self._store, self._progress)
-            self._rooms[worker] = room
+        capacity = self._capacities.get(worker)
+        if capacity is None:
+            capacity = worker_capacity(incarnation, self._store, self._progress)
+            self._capacities[worker] = capacity
         held = self._store.held_by(worker)
-        room.is_reserved = bool(stopping) and any(
+        capacity.is_reserved = bool(stopping) and any(
             run in stopping for run in held.items()
         )
-        return room
+        return capacity
 
     def _forget_reassigned(self) -> None:
         if not self._store.reassigned:
             return
         for worker in self._store.reassigned:
-            self._rooms.pop(worker, None)
+            self._capacities.pop(worker, None)
         self._store.reassigned = set()
--- a/src/wigeonreach/scheduling/_choosing.py
+++ b/src/wigeonreach/scheduling/_choosing.py
@@ -7,8 +7,8 @@
 
 from wigeonreach.jobs import StepSpec, TaskKey
 from wigeonreach.scheduling._ready import ReadyStep, max_tasks_per_worker
-from wigeonreach.scheduling._room_left import WorkerRoom
 from wigeonreach.scheduling._suspects import CRASHES_BEFORE_TRIAL, Apart
+from wigeonreach.scheduling._worker_capacity import WorkerCapacity
 
 # Costs of placing a task on a worker; the worker with the lowest sum is chosen.
 _FAILED_HERE_COST = 100.0
@@ -44,31 +44,33 @@
     ----------
     step
         The step whose tasks are to be placed.
-    rooms
+    workers
         The workers that accept tasks.
     """
 
     def __init__(
         self,
         step: ReadyStep,
-        rooms: Iterable[WorkerRoom],
+        workers: Iterable[WorkerCapacity],
     ) -> None:
         """Select the workers with capacity for a task."""
-        need = step.spec.room
+        need = step.spec.resources
         self._step = step
-        self._rooms = [room for room in rooms if room.left.holds(need)]
-        self._heap: list[tuple[_Cost, WorkerRoom]] | None = None
+        self._workers = [
+            worker for worker in workers if worker.free.covers(need)
+        ]
+        self._heap: list[tuple[_Cost, WorkerCapacity]] | None = None
 
     @property
-    def has_rooms(self) -> bool:
+    def has_workers(self) -> bool:
         """Whether some worker had capacity for a task."""
-        return bool(self._rooms)
+        return bool(self._workers)
 
     def best(
         self,
         key: TaskKey,
         isolation: Apart = Apart.FROM_NOTHING,
-    ) -> WorkerRoom | None:
+    ) -> WorkerCapacity | None:
         """Return the best worker for one task, or None if none fits.
 
         Parameters
@@ -84,49 +86,50 @@
             # The cost depends on where the task ran before or where other
             # tasks of its step are, so the shared ranking does not apply.
             crashes = task.crash_count if task else 0
-            rooms = self._rooms
+            workers = self._workers
             if isolation is not Apart.FROM_NOTHING:
-                rooms = [
-                    room
-                    for room in rooms
-                    if room.isolates(key.job_id, isolation)
+                workers = [
+                    worker
+                    for worker in workers
+                    if worker.isolates(key.job_id, isolation)
                 ]
-            return best_room(self._step, key, rooms, crashes)
+            return best_worker(self._step, key, workers, crashes)
         return self._cheapest(key)
 
-    def _cheapest(self, key: TaskKey) -> WorkerRoom | None:
+    def _cheapest(self, key: TaskKey) -> WorkerCapacity | None:
         if self._heap is None:
             self._heap = [
-                (_cost(self._step, key, room), room) for room in self._rooms
+                (_cost(self._step, key, worker), worker)
+                for worker in self._workers
             ]
             heapq.heapify(self._heap)
         while self._heap:
-            ranked, room = self._heap[0]
-            if not room.holds(key, self._step.spec):
+            ranked, worker = self._heap[0]
+            if not worker.holds(key, self._step.spec):
                 heapq.heappop(self._heap)
                 continue
-            current = _cost(self._step, key, room)
+            current = _cost(self._step, key, worker)
             if current == ranked:
-                return room
+                return worker
             # A task was placed on the worker since it was ranked.
-            heapq.heapreplace(self._heap, (current, room))
+            heapq.heapreplace(self._heap, (current, worker))
         return None
 
 
-def best_room(
+def best_worker(
     step: ReadyStep,
     key: TaskKey,
-    rooms: Iterable[WorkerRoom],
+    workers: Iterable[WorkerCapacity],
     crashes: int = 0,
-) -> WorkerRoom | None:
+) -> WorkerCapacity | None:
     """Return the best worker for one task, or None if none fits.
 
     ``crashes`` is the number of worker crashes that the task may have caused.
     """
-    fitting = [room for room in rooms if room.holds(key, step.spec)]
+    fitting = [worker for worker in workers if worker.holds(key, step.spec)]
     return min(
         fitting,
-        key=lambda room: _cost(step, key, room, crashes),
+        key=lambda worker: _cost(step, key, worker, crashes),
         default=None,
     )
 
@@ -134,63 +137,65 @@
 def _cost(
     step: ReadyStep,
     key: TaskKey,
-    room: WorkerRoom,
+    worker: WorkerCapacity,
     crashes: int = 0,
 ) -> _Cost:
     """Return the cost of placing a task on a worker."""
     spec = step.spec
-    report = room.incarnation.report
+    report = worker.incarnation.report
     task = step.job.task(key)
-    cost = _crash_cost(key.job_id, room, crashes)
+    cost = _crash_cost(key.job_id, worker, crashes)
     if task is not None and task.run and task.worker == report.worker:
         cost += _FAILED_HERE_COST
     if spec.data_rack and spec.data_rack != report.rack:
         cost += _REMOTE_DATA_COST
-    elif not spec.data_rack and room.has_local_demand:
+    elif not spec.data_rack and worker.has_local_demand:
         cost += _DATA_RACK_COST
-    if room.is_slow:
+    if worker.is_slow:
         cost += _SLOW_WORKER_COST
     if spec.is_service:
-        cost += _serving_cost(key, spec, room)
-    elif room.has_target:
+        cost += _serving_cost(key, spec, worker)
+    elif worker.has_target:
         cost += _BESIDE_SERVING_COST
-    return cost, _leftover_cost(spec, room), report.worker
+    return cost, _leftover_cost(spec, worker), report.worker
 
 
-def _crash_cost(job_id: str, room: WorkerRoom, crashes: int) -> float:
+def _crash_cost(job_id: str, worker: WorkerCapacity, crashes: int) -> float:
     """Return the cost of placing suspect tasks beside others."""
-    if not crashes and not room.suspects:
+    if not crashes and not worker.suspects:
         return 0.0
     cost = (
         _NOT_ISOLATED_COST
-        if room.is_closed and room.trial_job != job_id
+        if worker.is_closed and worker.trial_job != job_id
         else 0.0
     )
-    others = len(room.suspects - {job_id})
+    others = len(worker.suspects - {job_id})
     beside = _SUSPECTS_TOGETHER_COST if crashes else _BESIDE_SUSPECT_COST
     cost += others * beside
-    if crashes >= CRASHES_BEFORE_TRIAL and room.runs_other_jobs(job_id):
+    if crashes >= CRASHES_BEFORE_TRIAL and worker.runs_other_jobs(job_id):
         cost += _NOT_ISOLATED_COST
-    if crashes and room.has_crashed_lately:
+    if crashes and worker.has_crashed_lately:
         cost += _RECENT_CRASH_COST
     return cost
 
 
-def _serving_cost(key: TaskKey, spec: StepSpec, room: WorkerRoom) -> float:
+def _serving_cost(
+    key: TaskKey, spec: StepSpec, worker: WorkerCapacity
+) -> float:
     """Return the cost of placing a serving task on a worker.
 
     A step's tasks are spread over at least two workers, so that it survives
     the loss of one.  Beyond that serving tasks are packed on few workers: the
     others can run batch work without disturbing them, and their VMs can move.
     """
-    same_step = room.steps[key.job_id, key.occurrence, key.step]
+    same_step = worker.steps[key.job_id, key.occurrence, key.step]
     if same_step >= max_tasks_per_worker(spec):
         return _CROWDED_COST + same_step
-    return -min(room.serving, 1)
+    return -min(worker.serving, 1)
 
 
-def _leftover_cost(spec: StepSpec, room: WorkerRoom) -> float:
+def _leftover_cost(spec: StepSpec, worker: WorkerCapacity) -> float:
     """Return a tie-breaker: best fit for batch tasks, worst fit for serving."""
     if spec.is_service:
-        return -room.left.processors
-    return room.left.processors
+        return -worker.free.processors
+    return worker.free.processors
--- a/src/wigeonreach/scheduling/_incarnation.py
+++ b/src/wigeonreach/scheduling/_incarnation.py
@@ -4,7 +4,7 @@
 
 import dataclasses
 
-from wigeonreach._room import Room
+from wigeonreach._resources import Resources
 from wigeonreach.jobs import Run, RunEnded
 from wigeonreach.jobs._model import MEBIBYTE, MILLICORES
 from wigeonreach.scheduling._send_time import SendTimeEstimator
@@ -51,7 +51,7 @@
         When its first heartbeat of this term arrived.
     heard_s
         When its newest heartbeat arrived.
-    room
+    resources
         All resources of the worker.
     noted
         Number of the last of its ends that is committed.
@@ -76,7 +76,7 @@
     report: WorkerReport
     first_heard_s: float
     heard_s: float
-    room: Room
+    resources: Resources
     noted: int = 0
     ends_at_s: float | None = None
     ordered_s: float = float('-inf')
@@ -101,7 +101,7 @@
         self.report = report
         self.heard_s = now_s
         self.sent_s = self._send_time.estimate_s(report.clock_ms, now_s)
-        self.room = room_of(report)
+        self.resources = resources_of(report)
 
     @property
     def running(self) -> tuple[RunningTask, ...]:
@@ -183,9 +183,9 @@
     stalled: tuple[Run, ...] = ()
 
 
-def room_of(report: WorkerReport) -> Room:
+def resources_of(report: WorkerReport) -> Resources:
     """Return all resources of a worker."""
-    return Room(
+    return Resources(
         report.cpu_millicores / MILLICORES,
         report.memory_mb * MEBIBYTE,
         report.accelerators,
--- a/src/wigeonreach/scheduling/_locality.py
+++ b/src/wigeonreach/scheduling/_locality.py
@@ -15,7 +15,7 @@
 from wigeonreach.jobs import TaskKey
 from wigeonreach.scheduling._objectives import task_estimate_s
 from wigeonreach.scheduling._ready import ReadyStep
-from wigeonreach.scheduling._room_left import WorkerRoom
+from wigeonreach.scheduling._worker_capacity import WorkerCapacity
 
 # Service and rack.
 Rack = tuple[str, str]
@@ -48,59 +48,65 @@
         # Processor seconds queued for a rack ahead of the next step.
         self._queued_s: dict[Rack, float] = collections.defaultdict(float)
 
-    def local_rooms(
+    def nearby_workers(
         self,
         step: ReadyStep,
-        rooms: Sequence[WorkerRoom],
-    ) -> Sequence[WorkerRoom]:
+        workers: Sequence[WorkerCapacity],
+    ) -> Sequence[WorkerCapacity]:
         """Return the workers for a step: those near its data, or all."""
         rack = step.spec.data_rack
         if not rack or self._far_factor <= 1:
-            return rooms
+            return workers
         nearby = [
-            room for room in rooms if room.incarnation.report.rack == rack
+            worker
+            for worker in workers
+            if worker.incarnation.report.rack == rack
         ]
         wait_s = self._expected_wait_s(step, nearby)
         if wait_s is None or not self._worth_waiting(step, wait_s):
-            return rooms
+            return workers
         return nearby
 
-    def single_rack_rooms(
+    def single_rack_workers(
         self,
         step: ReadyStep,
-        rooms: Sequence[WorkerRoom],
-    ) -> Sequence[WorkerRoom]:
+        workers: Sequence[WorkerCapacity],
+    ) -> Sequence[WorkerCapacity]:
         """Return the workers of a rack that fits a whole step.
 
         Returns no workers if no rack fits the step now but one may soon, and
         all workers if waiting is not worthwhile.
         """
-        racks: dict[str, list[WorkerRoom]] = collections.defaultdict(list)
-        for room in rooms:
-            racks[room.incarnation.report.rack].append(room)
+        racks: dict[str, list[WorkerCapacity]] = collections.defaultdict(list)
+        for worker in workers:
+            racks[worker.incarnation.report.rack].append(worker)
         for rack in sorted(racks):
             if fits_all_tasks(step, racks[rack]):
                 return racks[rack]
         may_fit = any(_could_ever_fit(step, racks[rack]) for rack in racks)
-        return () if may_fit and self._worth_waiting(step, 0) else rooms
+        return () if may_fit and self._worth_waiting(step, 0) else workers
 
     def add_queued(self, step: ReadyStep, tasks: int) -> None:
         """Count tasks without a worker as queued ahead of later steps."""
         if step.spec.data_rack:
             work_s = (
-                step.spec.room.processors * task_estimate_s(step.spec) * tasks
+                step.spec.resources.processors
+                * task_estimate_s(step.spec)
+                * tasks
             )
             self._queued_s[_rack_of(step)] += work_s
 
     def _expected_wait_s(
         self,
         step: ReadyStep,
-        nearby: Sequence[WorkerRoom],
+        nearby: Sequence[WorkerCapacity],
     ) -> float | None:
         """Return the wait for a rack; None if it could never fit the step."""
         if not _could_ever_fit(step, nearby):
             return 0 if _rack_of(step) in self._incoming_racks else None
-        processors = sum(room.incarnation.room.processors for room in nearby)
+        processors = sum(
+            worker.incarnation.resources.processors for worker in nearby
+        )
         return self._queued_s[_rack_of(step)] / max(processors, 1)
 
     def _worth_waiting(self, step: ReadyStep, wait_s: float) -> bool:
@@ -108,12 +114,12 @@
         return lost_s < (self._far_factor - 1) * task_estimate_s(step.spec)
 
 
-def fits_all_tasks(step: ReadyStep, rooms: Iterable[WorkerRoom]) -> bool:
+def fits_all_tasks(step: ReadyStep, workers: Iterable[WorkerCapacity]) -> bool:
     """Whether all waiting tasks of a step fit at once, by a simple count."""
     missing = len(step.waiting)
     first = TaskKey(step.job.spec.job_id, step.occurrence, step.step, 0)
-    for room in rooms:
-        missing -= room.count(first, step.spec)
+    for worker in workers:
+        missing -= worker.count(first, step.spec)
         if missing <= 0:
             return True
     return False
@@ -123,14 +129,14 @@
     return step.job.queue.service, step.spec.data_rack
 
 
-def _could_ever_fit(step: ReadyStep, rooms: Iterable[WorkerRoom]) -> bool:
+def _could_ever_fit(step: ReadyStep, workers: Iterable[WorkerCapacity]) -> bool:
     """Whether a step would fit on the workers if they were empty."""
     spec = step.spec
     missing = len(step.waiting) if spec.is_gang else 1
-    for room in rooms:
-        if spec.label and spec.label not in room.incarnation.report.labels:
+    for worker in workers:
+        if spec.label and spec.label not in worker.incarnation.report.labels:
             continue
-        missing -= room.incarnation.room.count(spec.room)
+        missing -= worker.incarnation.resources.count(spec.resources)
         if missing <= 0:
             return True
     return False
--- a/src/wigeonreach/scheduling/_objectives.py
+++ b/src/wigeonreach/scheduling/_objectives.py
@@ -43,7 +43,7 @@
 def remaining_work_s(job: JobRecord, occurrence: int) -> float:
     """Return the processor seconds that an occurrence still needs."""
     return sum(
-        step.room.processors
+        step.resources.processors
         * task_estimate_s(step)
         * unfinished_tasks(job, occurrence, number)
         for number, step in enumerate(job.spec.steps)
--- a/src/wigeonreach/scheduling/_orders.py
+++ b/src/wigeonreach/scheduling/_orders.py
@@ -113,17 +113,17 @@
     them itself, it would start these runs all the same and disturb its other
     runs.
     """
-    left = incarnation.room
+    left = incarnation.resources
     for row in incarnation.running:
         spec = store.spec_of(row.task)
         if spec is not None:
-            left -= spec.room
+            left -= spec.resources
     for run in unlisted_runs(incarnation, store):
         asked = store.spec_of(run[0])
         if asked is None:
             continue
-        if left.holds(asked.room):
-            left -= asked.room
+        if left.covers(asked.resources):
+            left -= asked.resources
         else:
             yield run
 
@@ -138,7 +138,9 @@
     spec = store.spec_of(key)
     if job is None or spec is None:
         return False
-    return not store.is_under_cap(job, spec, NO_AMOUNTS - spec.least_start)
+    return not store.is_under_cap(
+        job, spec, NO_AMOUNTS - spec.min_start_amounts
+    )
 
 
 def stop_reason(run: Run, incarnation: Incarnation, store: JobStore) -> str:
--- a/src/wigeonreach/scheduling/_placing.py
+++ b/src/wigeonreach/scheduling/_placing.py
@@ -5,15 +5,15 @@
 import dataclasses
 from collections.abc import Iterable, Sequence
 
-from wigeonreach._room import Room
+from wigeonreach._resources import Resources
 from wigeonreach.jobs import JobStore, Run, RunStarted, TaskKey
 from wigeonreach.scheduling._advice import TicketCache
-from wigeonreach.scheduling._choosing import WorkerRanking, best_room
+from wigeonreach.scheduling._choosing import WorkerRanking, best_worker
 from wigeonreach.scheduling._locality import DataLocality, fits_all_tasks
 from wigeonreach.scheduling._preempting import Preemption, plan_preemption
 from wigeonreach.scheduling._ready import ReadyStep
-from wigeonreach.scheduling._room_left import WorkerRoom
 from wigeonreach.scheduling._suspects import Apart, Suspects
+from wigeonreach.scheduling._worker_capacity import WorkerCapacity
 from wigeonreach.scheduling.sharing import CapPlan
 
 # Share of a pool's workers that may be reserved for isolated tasks.
@@ -27,7 +27,7 @@
     ----------
     store
         The accepted jobs and where their tasks run.
-    rooms
+    workers
         The workers that accept tasks, by service.
     advice
         Tickets for the queues that require them.
@@ -44,7 +44,7 @@
     def __init__(
         self,
         store: JobStore,
-        rooms: dict[str, list[WorkerRoom]],
+        workers: dict[str, list[WorkerCapacity]],
         advice: TicketCache,
         locality: DataLocality,
         suspects: Suspects,
@@ -56,13 +56,13 @@
         self._locality = locality
         self._suspects = suspects
         self._store = store
-        self._rooms = rooms
+        self._workers = workers
         self._advice = advice
         self._now_s = now_s
         self.starts: list[RunStarted] = []
         self.unplaced: list[ReadyStep] = []
         # Requests that fit on no worker of a service.
-        self._unplaceable: dict[str, list[Room]] = {}
+        self._unplaceable: dict[str, list[Resources]] = {}
 
     def place(self, steps: Sequence[ReadyStep]) -> None:
         """Place the tasks of steps, in the given order."""
@@ -72,30 +72,32 @@
             if not self._caps.allows(step.job, step.spec):
                 # Blocked by its cap, so more capacity would not help.
                 continue
-            rooms = self._candidate_rooms(step)
+            workers = self._candidate_workers(step)
             if step.spec.is_gang:
-                is_placed = self._place_gang(step, rooms)
+                is_placed = self._place_gang(step, workers)
             else:
-                is_placed = self._place_tasks(step, rooms)
+                is_placed = self._place_tasks(step, workers)
             if not is_placed:
                 self.unplaced.append(step)
 
-    def make_room(self, stopping: set[Run], vm_room: Room) -> Preemption:
+    def preempt(
+        self, stopping: set[Run], vm_resources: Resources
+    ) -> Preemption:
         """Choose batch runs to preempt for unplaced serving tasks.
 
         Parameters
         ----------
         stopping
             Runs that are being stopped already; their capacity is counted on.
-        vm_room
+        vm_resources
             Capacity of one VM.
         """
         return plan_preemption(
             self.unplaced,
-            self._rooms,
+            self._workers,
             self._store,
             stopping,
-            vm_room,
+            vm_resources,
         )
 
     def _mark_data_racks(self, steps: Iterable[ReadyStep]) -> None:
@@ -103,10 +105,10 @@
         data_racks = {
             (self._service_of(step), step.spec.data_rack) for step in steps
         }
-        for service, rooms in self._rooms.items():
-            for room in rooms:
-                rack = room.incarnation.report.rack
-                room.has_local_demand = (service, rack) in data_racks
+        for service, workers in self._workers.items():
+            for worker in workers:
+                rack = worker.incarnation.report.rack
+                worker.has_local_demand = (service, rack) in data_racks
 
     def _reserve_trial_workers(self, steps: Iterable[ReadyStep]) -> None:
         """Reserve workers for the tasks that have to run alone.
@@ -125,7 +127,7 @@
         trials.sort(key=lambda trial: trial[0])
         for _, step in trials:
             pool = self._pool_of(step)
-            reserve_for_trial(step, self._candidate_rooms(step), pool)
+            reserve_for_trial(step, self._candidate_workers(step), pool)
 
     def _crashes_before_trial(self, step: ReadyStep) -> int:
         """Return the fewest crashes among tasks that must run alone, or 0."""
@@ -141,24 +143,24 @@
             default=0,
         )
 
-    def _candidate_rooms(self, step: ReadyStep) -> Sequence[WorkerRoom]:
+    def _candidate_workers(self, step: ReadyStep) -> Sequence[WorkerCapacity]:
         """Return the workers that may run tasks of a step now."""
-        rooms: Sequence[WorkerRoom]
-        rooms = self._pool_of(step)
-        rooms = self._locality.local_rooms(step, rooms)
+        workers: Sequence[WorkerCapacity]
+        workers = self._pool_of(step)
+        workers = self._locality.nearby_workers(step, workers)
         if step.job.queue.advice is not None:
-            rooms = self._advice.allowed(step, rooms, self._now_s)
+            workers = self._advice.allowed(step, workers, self._now_s)
         if step.spec.is_rack_local:
-            rooms = self._locality.single_rack_rooms(step, rooms)
-        return rooms
+            workers = self._locality.single_rack_workers(step, workers)
+        return workers
 
     def _place_tasks(
         self,
         step: ReadyStep,
-        rooms: Sequence[WorkerRoom],
+        workers: Sequence[WorkerCapacity],
     ) -> bool:
         waiting = self._startable(step)
-        ranking = self._ranking(step, rooms)
+        ranking = self._ranking(step, workers)
         if ranking is None:
             self._locality.add_queued(step, len(waiting))
             return not waiting
@@ -166,14 +168,16 @@
         for placed, index in enumerate(waiting):
             key = _task_key(step, index)
             isolation = self._isolation_of(step, key)
-            room = ranking.best(key, isolation)
-            if room is None and isolation is Apart.FROM_NOTHING:
+            worker = ranking.best(key, isolation)
+            if worker is None and isolation is Apart.FROM_NOTHING:
                 self._locality.add_queued(step, len(waiting) - placed)
                 return False
-            if room is None or _awaits_other_worker(step, key, room, rooms):
+            if worker is None or _awaits_other_worker(
+                step, key, worker, workers
+            ):
                 is_placed = False
                 continue
-            self._start(step, key, room, _next_run(step, index))
+            self._start(step, key, worker, _next_run(step, index))
         return is_placed
 
     def _startable(self, step: ReadyStep) -> list[int]:
@@ -189,34 +193,34 @@
     def _ranking(
         self,
         step: ReadyStep,
-        rooms: Sequence[WorkerRoom],
+        workers: Sequence[WorkerCapacity],
     ) -> WorkerRanking | None:
         """Return the ranked workers for a step, or None if none fits.
 
         Capacity only shrinks during planning.  In a full pool most steps need
         no look at the workers, because a smaller task did not fit before.
         """
-        need = step.spec.room
+        need = step.spec.resources
         unplaceable = self._unplaceable.setdefault(self._service_of(step), [])
-        if any(need.holds(request) for request in unplaceable):
+        if any(need.covers(request) for request in unplaceable):
             return None
-        ranking = WorkerRanking(step, rooms)
-        if ranking.has_rooms:
+        ranking = WorkerRanking(step, workers)
+        if ranking.has_workers:
             return ranking
-        if rooms is self._pool_of(step):
+        if workers is self._pool_of(step):
             unplaceable.append(need)
         return None
 
     def _service_of(self, step: ReadyStep) -> str:
         return self._store.service_of(step.job)
 
-    def _pool_of(self, step: ReadyStep) -> Sequence[WorkerRoom]:
-        return self._rooms.get(self._service_of(step), ())
+    def _pool_of(self, step: ReadyStep) -> Sequence[WorkerCapacity]:
+        return self._workers.get(self._service_of(step), ())
 
     def _place_gang(
         self,
         step: ReadyStep,
-        rooms: Sequence[WorkerRoom],
+        workers: Sequence[WorkerCapacity],
     ) -> bool:
         # A gang starts as a whole; members that wait for others would occupy
         # capacity without working.
@@ -226,28 +230,28 @@
             self._must_wait(step, _task_key(step, at)) for at in step.waiting
         ):
             return True
-        chosen = _fit_gang(step, rooms)
+        chosen = _fit_gang(step, workers)
         if chosen is None:
             self._locality.add_queued(step, len(step.waiting))
             return False
         run = max(_next_run(step, index) for index in step.waiting)
-        for key, room in chosen:
-            self._start(step, key, room, run)
+        for key, worker in chosen:
+            self._start(step, key, worker, run)
         return True
 
     def _start(
         self,
         step: ReadyStep,
         key: TaskKey,
-        room: WorkerRoom,
+        worker: WorkerCapacity,
         run: int,
     ) -> None:
-        room.add(key, step.spec)
+        worker.add(key, step.spec)
         self._caps.add_start(step.job, step.spec.amounts)
         task = step.job.task(key)
         if task is not None and task.crash_count:
-            self._note_suspect(step, room, task.crash_count)
-        report = room.incarnation.report
+            self._note_suspect(step, worker, task.crash_count)
+        report = worker.incarnation.report
         vm = report.vm_or_address
         self.starts.append(RunStarted(key, run, report.worker, vm))
 
@@ -265,17 +269,17 @@
     def _note_suspect(
         self,
         step: ReadyStep,
-        room: WorkerRoom,
+        worker: WorkerCapacity,
         crashes: int,
     ) -> None:
-        room.add_suspect(step.job.spec.job_id, crashes)
-        close_trial_workers(self._rooms[self._service_of(step)])
+        worker.add_suspect(step.job.spec.job_id, crashes)
+        close_trial_workers(self._workers[self._service_of(step)])
 
 
 def reserve_for_trial(
     step: ReadyStep,
-    rooms: Sequence[WorkerRoom],
-    pool: Sequence[WorkerRoom],
+    workers: Sequence[WorkerCapacity],
+    pool: Sequence[WorkerCapacity],
 ) -> None:
     """Reserve the emptiest worker for a task that has to run alone.
 
@@ -283,20 +287,20 @@
     ----------
     step
         The step that the task belongs to.
-    rooms
+    workers
         The workers that may run the task.
     pool
         All workers of its service.
     """
     job_id = step.job.spec.job_id
-    trials = [room for room in pool if room.trial_job]
+    trials = [worker for worker in pool if worker.trial_job]
     if len(trials) >= _max_closed(pool):
         return
-    if any(room.trial_job == job_id for room in trials):
+    if any(worker.trial_job == job_id for worker in trials):
         return
     emptiest = min(
-        (room for room in rooms if room.can_host_trial(step.spec)),
-        key=lambda room: (sum(room.steps.values()), room.name),
+        (worker for worker in workers if worker.can_host_trial(step.spec)),
+        key=lambda worker: (sum(worker.steps.values()), worker.name),
         default=None,
     )
     if emptiest is not None:
@@ -304,45 +308,46 @@
         close_trial_workers(pool)
 
 
-def close_trial_workers(rooms: Sequence[WorkerRoom]) -> None:
+def close_trial_workers(workers: Sequence[WorkerCapacity]) -> None:
     """Close reserved workers to the tasks of other jobs.
 
     Most of a pool stays open.  With many isolated tasks at once, those without
     a worker of their own wait for a while and then run beside others.
     """
-    trials = [room for room in rooms if room.trial_job]
-    trials.sort(key=lambda room: room.runs_other_jobs(room.trial_job))
-    allowed = _max_closed(rooms)
-    for number, room in enumerate(trials):
-        room.is_closed = number < allowed
+    trials = [worker for worker in workers if worker.trial_job]
+    trials.sort(key=lambda worker: worker.runs_other_jobs(worker.trial_job))
+    allowed = _max_closed(workers)
+    for number, worker in enumerate(trials):
+        worker.is_closed = number < allowed
 
 
-def _max_closed(rooms: Sequence[WorkerRoom]) -> int:
-    return max(int(len(rooms) * _MAX_CLOSED_RATIO), 1)
+def _max_closed(workers: Sequence[WorkerCapacity]) -> int:
+    return max(int(len(workers) * _MAX_CLOSED_RATIO), 1)
 
 
 def _fit_gang(
     step: ReadyStep,
-    rooms: Sequence[WorkerRoom],
-) -> list[tuple[TaskKey, WorkerRoom]] | None:
+    workers: Sequence[WorkerCapacity],
+) -> list[tuple[TaskKey, WorkerCapacity]] | None:
     """Return a worker for each task of a gang, or None if it does not fit."""
-    if not fits_all_tasks(step, rooms):
+    if not fits_all_tasks(step, workers):
         # This cheap check rules out most gangs that don't fit.
         return None
     copies = [
-        dataclasses.replace(room, steps=room.steps.copy()) for room in rooms
+        dataclasses.replace(worker, steps=worker.steps.copy())
+        for worker in workers
     ]
-    originals = dict(zip(map(id, copies), rooms, strict=True))
-    chosen: list[tuple[TaskKey, WorkerRoom]] = []
+    originals = dict(zip(map(id, copies), workers, strict=True))
+    chosen: list[tuple[TaskKey, WorkerCapacity]] = []
     for index in step.waiting:
         key = _task_key(step, index)
         task = step.job.task(key)
         crashes = task.crash_count if task else 0
-        room = best_room(step, key, copies, crashes)
-        if room is None:
+        worker = best_worker(step, key, copies, crashes)
+        if worker is None:
             return None
-        room.add(key, step.spec)
-        chosen.append((key, originals[id(room)]))
+        worker.add(key, step.spec)
+        chosen.append((key, originals[id(worker)]))
     return chosen
 
 
@@ -358,15 +363,15 @@
 def _awaits_other_worker(
     step: ReadyStep,
     key: TaskKey,
-    room: WorkerRoom,
-    rooms: Sequence[WorkerRoom],
+    worker: WorkerCapacity,
+    workers: Sequence[WorkerCapacity],
 ) -> bool:
     """Whether a task's last attempt would use the worker it failed on.
 
     A worker that fails every task must not make a job fail by itself.
     """
     task = step.job.task(key)
-    if task is None or task.worker != room.incarnation.report.worker:
+    if task is None or task.worker != worker.incarnation.report.worker:
         return False
     is_last = task.failures + 1 >= step.job.queue.max_failures
-    return bool(task.failures) and is_last and len(rooms) > 1
+    return bool(task.failures) and is_last and len(workers) > 1
--- a/src/wigeonreach/scheduling/_preempting.py
+++ b/src/wigeonreach/scheduling/_preempting.py
@@ -9,11 +9,11 @@
 import dataclasses
 from collections.abc import Iterable, Mapping
 
-from wigeonreach._room import Room
+from wigeonreach._resources import Resources
 from wigeonreach.jobs import JobStore, Run, TaskKey
 from wigeonreach.scheduling._backlog import vm_share
 from wigeonreach.scheduling._ready import ReadyStep
-from wigeonreach.scheduling._room_left import WorkerRoom
+from wigeonreach.scheduling._worker_capacity import WorkerCapacity
 
 
 @dataclasses.dataclass(slots=True)
@@ -42,10 +42,10 @@
 
 def plan_preemption(
     unplaced: Iterable[ReadyStep],
-    rooms: Mapping[str, list[WorkerRoom]],
+    workers: Mapping[str, list[WorkerCapacity]],
     store: JobStore,
     stopping: set[Run],
-    vm_room: Room,
+    vm_resources: Resources,
 ) -> Preemption:
     """Choose batch runs to preempt for unplaced serving tasks.
 
@@ -53,17 +53,17 @@
     ----------
     unplaced
         Steps with tasks that fit on no worker.
-    rooms
+    workers
         The workers that accept tasks, by service.
     store
         The replicated state, which tells what runs where.
     stopping
         Runs that are being stopped already; their capacity is counted on.
-    vm_room
+    vm_resources
         Capacity of one VM.
     """
     preemption = Preemption()
-    candidates = {service: list(found) for service, found in rooms.items()}
+    candidates = {service: list(found) for service, found in workers.items()}
     for step in unplaced:
         if not step.spec.is_service:
             continue
@@ -71,28 +71,30 @@
         stopped = stopping | preemption.stops
         found = victims_for(step, candidates.get(service, ()), store, stopped)
         if found is None:
-            vms = vm_share(step.spec.room, vm_room) * len(step.waiting)
+            vms = vm_share(step.spec.resources, vm_resources) * len(
+                step.waiting
+            )
             preemption.add_unmet(service, step.spec.label, vms)
             continue
-        room, runs = found
+        worker, runs = found
         preemption.stops.update(runs)
-        candidates[service].remove(room)
+        candidates[service].remove(worker)
     return preemption
 
 
 def victims_for(
     step: ReadyStep,
-    rooms: Iterable[WorkerRoom],
+    workers: Iterable[WorkerCapacity],
     store: JobStore,
     stopping: set[Run],
-) -> tuple[WorkerRoom, tuple[Run, ...]] | None:
+) -> tuple[WorkerCapacity, tuple[Run, ...]] | None:
     """Return the worker to free for one task, and the runs to stop there.
 
     Parameters
     ----------
     step
         The step of the task that fits on no worker.
-    rooms
+    workers
         The workers that may run the task.
     store
         The replicated state, which tells what runs where.
@@ -107,45 +109,46 @@
     """
     key = TaskKey(step.job.spec.job_id, step.occurrence, step.step, 0)
     options = [
-        (room, found)
-        for room in rooms
-        if (found := _victims_on(room, step, key, store, stopping)) is not None
+        (worker, found)
+        for worker in workers
+        if (found := _victims_on(worker, step, key, store, stopping))
+        is not None
     ]
     return min(options, key=lambda option: len(option[1]), default=None)
 
 
 def _victims_on(
-    room: WorkerRoom,
+    worker: WorkerCapacity,
     step: ReadyStep,
     key: TaskKey,
     store: JobStore,
     stopping: set[Run],
 ) -> tuple[Run, ...] | None:
     spec = step.spec
-    if not room.meets_constraints(key, spec):
+    if not worker.meets_constraints(key, spec):
         return None
-    free = room.left
+    free = worker.free
     victims: list[Run] = []
-    for run, freed in _preemptible_runs(room, store):
-        if free.holds(spec.room):
+    for run, freed in _preemptible_runs(worker, store):
+        if free.covers(spec.resources):
             break
         free += freed
         if run not in stopping:
             victims.append(run)
-    return tuple(victims) if free.holds(spec.room) else None
+    return tuple(victims) if free.covers(spec.resources) else None
 
 
 def _preemptible_runs(
-    room: WorkerRoom,
+    worker: WorkerCapacity,
     store: JobStore,
-) -> list[tuple[Run, Room]]:
+) -> list[tuple[Run, Resources]]:
     """Return the batch runs of a worker, those with least progress first."""
-    progress = {row.task: row.percent for row in room.incarnation.running}
-    held = store.held_by(room.incarnation.report.worker)
-    runs: list[tuple[int, Run, Room]] = []
+    progress = {row.task: row.percent for row in worker.incarnation.running}
+    held = store.held_by(worker.incarnation.report.worker)
+    runs: list[tuple[int, Run, Resources]] = []
     for key, run in held.items():
         spec = store.spec_of(key)
         if spec is not None and not spec.is_service:
-            runs.append((progress.get(key, 0), (key, run), spec.room))
+            runs.append((progress.get(key, 0), (key, run), spec.resources))
     runs.sort(key=lambda item: (item[0], item[1]))
     return [(run, freed) for _, run, freed in runs]
--- a/src/wigeonreach/scheduling/_scheduler.py
+++ b/src/wigeonreach/scheduling/_scheduler.py
@@ -14,13 +14,16 @@
 from wigeonreach.observe import LogEvent
 from wigeonreach.scheduling._advice import TicketCache
 from wigeonreach.scheduling._answers import HeartbeatAnswers
+from wigeonreach.scheduling._available_workers import (
+    AvailableWorkers,
+    CapacityByService,
+)
 from wigeonreach.scheduling._ends import RunEnds
-from wigeonreach.scheduling._incarnation import Heard, Incarnation, room_of
+from wigeonreach.scheduling._incarnation import Heard, Incarnation, resources_of
 from wigeonreach.scheduling._lost_runs import LostRuns
 from wigeonreach.scheduling._maintenance import Maintenance
 from wigeonreach.scheduling._moving_out import DisruptionBudget
 from wigeonreach.scheduling._notes import Note
-from wigeonreach.scheduling._open_rooms import OpenRooms, PoolRooms
 from wigeonreach.scheduling._pacing import Pacing
 from wigeonreach.scheduling._placing import Plan
 from wigeonreach.scheduling._progress import ProgressWatch
@@ -112,7 +115,7 @@
         self.caps = CapWatch(store)
         self._lost_runs = LostRuns(store, self.workers, self.progress, now_s)
         self.crashes = self._lost_runs.crashes
-        self._rooms = OpenRooms(
+        self._available = AvailableWorkers(
             store,
             self.workers,
             self.progress,
@@ -144,7 +147,7 @@
         if before is not None and before.sequence == report.sequence:
             # The repeat is already applied, but its ends may not be recorded.
             return Heard(incarnation, tuple(self._ends.reported(incarnation)))
-        self._rooms.forget(report.worker)
+        self._available.forget(report.worker)
         self.crashes.note_heard(incarnation)
         self.caps.strays.note_heard(incarnation)
         self._note_report_changes(incarnation, before, now_s)
@@ -176,8 +179,8 @@
         if report.is_draining and not (before and before.is_draining):
             left = f'has {report.drain_left_ms} ms left'
             self._add_note(LogEvent.WORKER_DRAINING, incarnation, left)
-        if before is not None and room_of(before) != incarnation.room:
-            has = f'has {incarnation.room}, had {room_of(before)}'
+        if before is not None and resources_of(before) != incarnation.resources:
+            has = f'has {incarnation.resources}, had {resources_of(before)}'
             self._add_note(LogEvent.WORKER_RESIZED, incarnation, has)
 
     def is_foreign(self, report: WorkerReport) -> bool:
@@ -205,7 +208,7 @@
             self.notes.append(note)
             self.pacing.forget(worker)
             self.quarantine.forget(worker)
-            self._rooms.forget(worker)
+            self._available.forget(worker)
             self.caps.strays.forget(worker)
             self.progress.forget(worker, self._store.held_by(worker))
         self._drop_ended_stops()
@@ -232,13 +235,13 @@
         if not steps:
             return ()
         needed = {self._store.service_of(step.job) for step in steps}
-        rooms = self.rooms(now_s, needed)
-        near = self.pools.near_rooms(now_s)
+        workers = self.available_workers(now_s, needed)
+        near = self.pools.data_locality(now_s)
         suspects = self.crashes.suspects(now_s)
         cap_plan = self.caps.plan()
         plan = Plan(
             self._store,
-            rooms,
+            workers,
             self.advice,
             near,
             suspects,
@@ -247,12 +250,12 @@
         )
         plan.place(steps)
         self.notes.extend(self.caps.note_plan(cap_plan))
-        made = plan.make_room(self.stopping, self.pools.vms.room)
+        made = plan.preempt(self.stopping, self.pools.vms.vm_resources)
         self.stopping.update(made.stops)
         self._unplaced_vms = made.homeless
         for start in plan.starts:
             # It is not certain yet that the start will be recorded.
-            self._rooms.forget(start.worker)
+            self._available.forget(start.worker)
             self.workers.incarnations[start.worker].unlisted_starts.add(
                 (start.task, start.run),
             )
@@ -327,14 +330,16 @@
         if reason:
             self.notes.append(Note(event, incarnation.report.worker, reason))
 
-    def rooms(
+    def available_workers(
         self,
         now_s: float,
         services: Collection[str],
-    ) -> PoolRooms:
+    ) -> CapacityByService:
         """Return the free resources on each worker of some services.
 
         Workers that accept no work now are left out.
         """
         cordoned = self.maintenance.cordoned | self.pools.cordoned
-        return self._rooms.of(services, cordoned, self.stopping, now_s)
+        return self._available.by_service(
+            services, cordoned, self.stopping, now_s
+        )
--- a/src/wigeonreach/scheduling/_room_left.py
+++ b/src/wigeonreach/scheduling/_worker_capacity.py
@@ -5,7 +5,7 @@
 import collections
 import dataclasses
 
-from wigeonreach._room import Room
+from wigeonreach._resources import Resources
 from wigeonreach.jobs import JobStore, StepSpec, TaskKey
 from wigeonreach.scheduling._evidence import SOUND_S
 from wigeonreach.scheduling._incarnation import Incarnation
@@ -14,14 +14,14 @@
 
 
 @dataclasses.dataclass(slots=True)
-class WorkerRoom:
+class WorkerCapacity:
     """Free capacity of one worker while a plan is made.
 
     Attributes
     ----------
     incarnation
         The worker.
-    left
+    free
         Free capacity.
     steps
         Number of tasks on it, by job id, occurrence and step.
@@ -47,7 +47,7 @@
     """
 
     incarnation: Incarnation
-    left: Room
+    free: Resources
     steps: collections.Counter[tuple[str, int, int]]
     serving: int = 0
     has_target: bool = False
@@ -70,7 +70,7 @@
 
     def add(self, key: TaskKey, spec: StepSpec) -> None:
         """Place a task on the worker."""
-        self.left = self.left - spec.room
+        self.free = self.free - spec.resources
         self.steps[key.job_id, key.occurrence, key.step] += 1
         self.serving += spec.is_service
         self.has_target |= spec.is_service and spec.latency_target_ms > 0
@@ -82,8 +82,8 @@
         if self.is_closed and key.job_id != self.trial_job:
             # Users wait for serving tasks, so for these a closed worker is not
             # excluded but only costs more.
-            return spec.is_service and self._has_room(key, spec)
-        return self._has_room(key, spec)
+            return spec.is_service and self._fits(key, spec)
+        return self._fits(key, spec)
 
     def add_suspect(self, job_id: str, crashes: int) -> None:
         """Record that a task on the worker may crash it."""
@@ -110,16 +110,18 @@
         if self.serving or self.trial_job or self.is_reserved:
             return False
         has_label = not spec.label or spec.label in self._labels
-        return has_label and self.incarnation.room.holds(spec.room)
+        return has_label and self.incarnation.resources.covers(spec.resources)
 
-    def _has_room(self, key: TaskKey, spec: StepSpec) -> bool:
-        return self.left.holds(spec.room) and self.meets_constraints(key, spec)
+    def _fits(self, key: TaskKey, spec: StepSpec) -> bool:
+        return self.free.covers(spec.resources) and self.meets_constraints(
+            key, spec
+        )
 
     def count(self, key: TaskKey, spec: StepSpec) -> int:
         """Return how many tasks of a step may be placed on the worker."""
         if not self.holds(key, spec):
             return 0
-        fitting = self.left.count(spec.room)
+        fitting = self.free.count(spec.resources)
         if not spec.spread_limit:
             return fitting
         placed = self.steps[key.job_id, key.occurrence, key.step]
@@ -133,30 +135,32 @@
         return not spec.spread_limit or placed < spec.spread_limit
 
 
-def room_left(
+def worker_capacity(
     incarnation: Incarnation,
     store: JobStore,
     progress: ProgressWatch,
-) -> WorkerRoom:
+) -> WorkerCapacity:
     """Return a worker's free capacity beside everything it may run."""
     worker = incarnation.report.worker
-    room = WorkerRoom(incarnation, incarnation.room, collections.Counter())
+    capacity = WorkerCapacity(
+        incarnation, incarnation.resources, collections.Counter()
+    )
     held = store.held_by(worker)
     for key, run in held.items():
-        _add_known(room, key, store)
+        _add_task(capacity, key, store)
         task = store.task_of(key)
         if task is None or not task.crash_count:
             continue
         if progress.worked_s((key, run), incarnation.heard_s) < SOUND_S:
-            room.add_suspect(key.job_id, task.crash_count)
+            capacity.add_suspect(key.job_id, task.crash_count)
     for row in incarnation.running:
         # A run that is being stopped uses capacity until its end is reported.
         if row.task not in held:
-            _add_known(room, row.task, store)
-    return room
+            _add_task(capacity, row.task, store)
+    return capacity
 
 
-def _add_known(room: WorkerRoom, key: TaskKey, store: JobStore) -> None:
+def _add_task(capacity: WorkerCapacity, key: TaskKey, store: JobStore) -> None:
     spec = store.spec_of(key)
     if spec is not None:
-        room.add(key, spec)
+        capacity.add(key, spec)
--- a/src/wigeonreach/scheduling/_workers.py
+++ b/src/wigeonreach/scheduling/_workers.py
@@ -9,7 +9,7 @@
     LEASE_OVER_S,
     EndedIncarnation,
     Incarnation,
-    room_of,
+    resources_of,
 )
 from wigeonreach.scheduling._vm_incarnations import VmIncarnations
 from wigeonreach.wire._worker_messages import WorkerReport, worker_id_of
@@ -68,7 +68,7 @@
             return self._readmit(report, now_s)
         known = self.incarnations.get(report.worker)
         if known is None:
-            known = Incarnation(report, now_s, now_s, room_of(report))
+            known = Incarnation(report, now_s, now_s, resources_of(report))
             self.by_vm.mark_rivals_unproven(known, now_s)
             self._add(known)
             return known
@@ -171,7 +171,7 @@
             if incarnation.may_take(now_s):
                 service = incarnation.report.service
                 has = total.get(service, 0)
-                total[service] = has + incarnation.room.processors
+                total[service] = has + incarnation.resources.processors
         return total
 
     def of_vm(self, vm: str) -> Incarnation | None:
--- a/src/wigeonreach/scheduling/pooling/_pool_vms.py
+++ b/src/wigeonreach/scheduling/pooling/_pool_vms.py
@@ -6,7 +6,7 @@
 import dataclasses
 from collections.abc import Iterable
 
-from wigeonreach._room import NO_ROOM, Room
+from wigeonreach._resources import NO_RESOURCES, Resources
 from wigeonreach.jobs import JobStore
 from wigeonreach.scheduling._incarnation import Incarnation
 from wigeonreach.scheduling._vms import VmPhase, VmRecord
@@ -70,7 +70,7 @@
         self._labels: dict[str, tuple[str, ...]] = {}
         self._zones: dict[str, str] = {}
         self._live_zones: set[str] = set()
-        self.room = NO_ROOM
+        self.vm_resources = NO_RESOURCES
 
     @property
     def standby_pool(self) -> str:
@@ -153,7 +153,7 @@
             for incarnation in incarnations
             if now_s - incarnation.heard_s <= _ZONE_SILENT_S
         }
-        self.room = _mean_room(incarnations)
+        self.vm_resources = _mean_resources(incarnations)
 
     def _forget_arrived(self, now_s: float) -> None:
         for vm, (pool, since_s) in list(self._incoming.items()):
@@ -171,13 +171,13 @@
             self._standby.add(vm)
 
 
-def _mean_room(incarnations: Iterable[Incarnation]) -> Room:
+def _mean_resources(incarnations: Iterable[Incarnation]) -> Resources:
     # Sums plain numbers: this runs for the whole fleet ten times a second.
-    rooms = [incarnation.room for incarnation in incarnations]
-    if not rooms:
-        return NO_ROOM
-    return Room(
-        sum([room.processors for room in rooms]) / len(rooms),
-        sum([room.memory_bytes for room in rooms]) / len(rooms),
-        sum([room.accelerators for room in rooms]) // len(rooms),
+    totals = [incarnation.resources for incarnation in incarnations]
+    if not totals:
+        return NO_RESOURCES
+    return Resources(
+        sum([total.processors for total in totals]) / len(totals),
+        sum([total.memory_bytes for total in totals]) / len(totals),
+        sum([total.accelerators for total in totals]) // len(totals),
     )
--- a/src/wigeonreach/scheduling/pooling/_pools.py
+++ b/src/wigeonreach/scheduling/pooling/_pools.py
@@ -130,13 +130,13 @@
         """VMs that get no new tasks."""
         return set(self._pending_moves)
 
-    def near_rooms(self, now_s: float) -> DataLocality:
+    def data_locality(self, now_s: float) -> DataLocality:
         """Return the data locality rules for one plan."""
         return DataLocality(self._far_factor, self.vms.incoming_racks(), now_s)
 
     def note_accepted(self, work: AcceptedWork, now_s: float) -> None:
         """Record work that was just accepted."""
-        vm_s = sum(step.vm_s(self.vms.room) for step in work.steps)
+        vm_s = sum(step.vm_s(self.vms.vm_resources) for step in work.steps)
         self._demand[work.service].note(vm_s, now_s)
 
     def note_vms(self, vms: Iterable[VmRecord]) -> None:
@@ -178,7 +178,7 @@
             Clock in seconds.
         """
         self.vms.refresh(now_s)
-        backlog = backlog_by_service(work, self.vms.room)
+        backlog = backlog_by_service(work, self.vms.vm_resources)
         need = ServingNeed(serving, unmet_vms)
         pools = self._pools(backlog, need, excluded_vms, now_s)
         self._fill_pools(pools, excluded_vms, now_s)
--- a/src/wigeonreach/scheduling/sharing/_cap_plan.py
+++ b/src/wigeonreach/scheduling/sharing/_cap_plan.py
@@ -48,7 +48,7 @@
             if not self._store.is_under_cap(job, step, usage):
                 self.capped_jobs[job.spec.job_id] = workspace
                 return count
-            usage += step.least_start
+            usage += step.min_start_amounts
         return wanted
 
     def add_start(self, job: JobRecord, need: Amounts) -> None:
--- a/tests/builders_placement.py
+++ b/tests/builders_placement.py
@@ -5,7 +5,7 @@
 import dataclasses
 from typing import Any
 
-from wigeonreach._room import Room
+from wigeonreach._resources import Resources
 from wigeonreach.fleet._placement import Placement
 from wigeonreach.fleet._placement_model import (
     Job,
@@ -17,13 +17,13 @@
 )
 
 GIB = 1024.0**3
-_JOB = Job('job', 'team', 'image', 'pool', Room(4, 4 * GIB))
-_WORKER = Worker('vm-0', 'pool', 'a', 'a-0', Room(16, 32 * GIB))
+_JOB = Job('job', 'team', 'image', 'pool', Resources(4, 4 * GIB))
+_WORKER = Worker('vm-0', 'pool', 'a', 'a-0', Resources(16, 32 * GIB))
 
 
 def build_job(job_id: str, processors: float = 4, **changes: Any) -> Job:
     """Return a job that needs as many GiB as processors."""
-    declared = Room(processors, processors * GIB)
+    declared = Resources(processors, processors * GIB)
     job = dataclasses.replace(_JOB, job_id=job_id, declared=declared)
     return dataclasses.replace(job, **changes)
 
--- a/tests/fleet/test_placement.py
+++ b/tests/fleet/test_placement.py
@@ -13,7 +13,7 @@
     report_task,
     submit,
 )
-from wigeonreach._room import Room
+from wigeonreach._resources import Resources
 from wigeonreach.fleet._placement import LEASE_S, Placement
 from wigeonreach.fleet._placement_jobs import JobState
 from wigeonreach.fleet._placement_model import (
@@ -80,7 +80,7 @@
         placement = build_placement(1)
         for number in range(4):
             _run(placement, f'job-{number}')
-        used = Room(1, GIB)
+        used = Resources(1, GIB)
 
         for number in range(4):
             record = placement.job(f'job-{number}')
@@ -97,7 +97,7 @@
         record = placement.job('job')
         assert record is not None
 
-        report = UsageReported('job', record.lease_token, Room(16, 0), 9)
+        report = UsageReported('job', record.lease_token, Resources(16, 0), 9)
         placement.handle(report, 11)
 
         self.assertThat(record.need.processors, Equals(4))
@@ -168,7 +168,9 @@
 
         self.assertThat(first.lease_token > old_token, Is(True))
         self.assertThat(
-            placement.handle(UsageReported('job', old_token, Room(9, 9), 9), 9),
+            placement.handle(
+                UsageReported('job', old_token, Resources(9, 9), 9), 9
+            ),
             Equals([]),
         )
         self.assertThat(first.need.processors, Equals(4))
@@ -234,7 +236,7 @@
     def test_checkpointed(self) -> None:
         """A job is checkpointed and stopped if throttling is not enough."""
         placement = build_placement(1)
-        large = Room(4, 32 * GIB)
+        large = Resources(4, 32 * GIB)
         _run(placement, 'waits', can_wait=True, declared=large)
 
         stops = submit(placement, build_job('now', is_urgent=True))
--- a/tests/fleet/test_placement_invariants.py
+++ b/tests/fleet/test_placement_invariants.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies
 
 from tests.builders_placement import GIB, build_job, build_placement
-from wigeonreach._room import Room
+from wigeonreach._resources import Resources
 from wigeonreach.fleet._placement import LEASE_S, Placement
 from wigeonreach.fleet._placement_index import ResourceIndex
 from wigeonreach.fleet._placement_model import (
@@ -75,7 +75,9 @@
                 for allocation in state.allocations.values()
             ),
         )
-        assert used <= state.worker.room.memory_bytes + 1, 'over its room'
+        assert used <= state.worker.resources.memory_bytes + 1, (
+            'over its resources'
+        )
         ends_s = self.now_s + LEASE_S
         task = _Task(effect.worker, effect.lease_token, ends_s)
         self.running[effect.job_id] = task
@@ -127,7 +129,7 @@
             return
         job_id = self.rng.choice(sorted(self.running))
         processors = self.rng.choice((0.5, 2, 8))
-        used = Room(processors, processors * GIB)
+        used = Resources(processors, processors * GIB)
         token = self.running[job_id].token
         self.send(UsageReported(job_id, token, used, self.now_s))
 
@@ -192,10 +194,10 @@
 
         def find_ignoring_memory(
             index: ResourceIndex,
-            need: Room,
+            need: Resources,
             *others: Any,
         ) -> str | None:
-            return find(index, Room(need.processors, 0), *others)
+            return find(index, Resources(need.processors, 0), *others)
 
         with mock.patch.object(ResourceIndex, 'find', find_ignoring_memory):
             self.assertRaises(AssertionError, _run_many)
--- a/tests/lab/test_day.py
+++ b/tests/lab/test_day.py
@@ -19,7 +19,7 @@
     Outcome,
     applied,
 )
-from wigeonreach.scheduling import _incarnation, _room_left, _workers
+from wigeonreach.scheduling import _incarnation, _worker_capacity, _workers
 from wigeonreach.scheduling.pooling import _pools
 
 _FLEET = FleetPlan(
@@ -101,7 +101,7 @@
 
     def test_uncounted_resources_are_detected(self) -> None:
         """More runs are started on a worker than fit its capacity."""
-        with mock.patch.object(_room_left, '_add_known', _forget):
+        with mock.patch.object(_worker_capacity, '_add_task', _forget):
             self.assertRaises(BrokenRuleError, self._simulate_all)
 
 
--- a/tests/platform/test_decoding.py
+++ b/tests/platform/test_decoding.py
@@ -96,9 +96,9 @@
 
     def test_filler_takes_no_processors(self) -> None:
         """It runs on processors that others leave idle; its memory counts."""
-        room = decode_job(_job(utilisation=True)).steps[0].room
-        self.assertThat(room.processors, matchers.Equals(0))
-        self.assertThat(room.memory_bytes, matchers.GreaterThan(0))
+        resources = decode_job(_job(utilisation=True)).steps[0].resources
+        self.assertThat(resources.processors, matchers.Equals(0))
+        self.assertThat(resources.memory_bytes, matchers.GreaterThan(0))
 
     def test_invalid_jobs_are_refused(self) -> None:
         """Each with the result code for an invalid job."""
--- a/tests/scheduling/sharing/test_caps.py
+++ b/tests/scheduling/sharing/test_caps.py
@@ -229,7 +229,7 @@
             )
             lead.scheduler.moves(lead.now_s)
             vm_s = sum(
-                owed.vm_s(lead.scheduler.pools.vms.room)
+                owed.vm_s(lead.scheduler.pools.vms.vm_resources)
                 for steps in work.values()
                 for owed in steps
             )
--- a/tests/scheduling/test_choosing.py
+++ b/tests/scheduling/test_choosing.py
@@ -21,33 +21,36 @@
 )
 from wigeonreach.jobs import AddJob, JobStore, StepSpec
 from wigeonreach.lab import commit
-from wigeonreach.scheduling._choosing import WorkerRanking, best_room
-from wigeonreach.scheduling._incarnation import Incarnation, room_of
+from wigeonreach.scheduling._choosing import WorkerRanking, best_worker
+from wigeonreach.scheduling._incarnation import Incarnation, resources_of
 from wigeonreach.scheduling._placing import Plan
 from wigeonreach.scheduling._progress import ProgressWatch
 from wigeonreach.scheduling._ready import ReadyStep, ReadySteps
-from wigeonreach.scheduling._room_left import WorkerRoom, room_left
 from wigeonreach.scheduling._suspects import Suspects
+from wigeonreach.scheduling._worker_capacity import (
+    WorkerCapacity,
+    worker_capacity,
+)
 from wigeonreach.standins import StandInWorker
 
 _DRAWS = 200
 _RACKS = ('near', 'far')
 
 
-def _rooms(rng: random.Random, store: JobStore) -> list[WorkerRoom]:
-    rooms: list[WorkerRoom] = []
+def _capacities(rng: random.Random, store: JobStore) -> list[WorkerCapacity]:
+    capacities: list[WorkerCapacity] = []
     for number in range(rng.randint(1, 8)):
         worker = StandInWorker(f'w{number}', f'vm{number}')
         worker.cpu_millicores = rng.choice((1000, 4000, 16_000))
         worker.rack = rng.choice(_RACKS)
         report = worker.report()
-        incarnation = Incarnation(report, 0, 0, room_of(report))
-        room = room_left(incarnation, store, ProgressWatch())
-        room.is_slow = not rng.randrange(5)
-        room.serving = rng.randint(0, 1)
-        room.has_target = bool(room.serving)
-        rooms.append(room)
-    return rooms
+        incarnation = Incarnation(report, 0, 0, resources_of(report))
+        capacity = worker_capacity(incarnation, store, ProgressWatch())
+        capacity.is_slow = not rng.randrange(5)
+        capacity.serving = rng.randint(0, 1)
+        capacity.has_target = bool(capacity.serving)
+        capacities.append(capacity)
+    return capacities
 
 
 def _step(rng: random.Random) -> StepSpec:
@@ -75,24 +78,24 @@
             store = store_with(job(_step(rng)))
             ready = _ready(store)
             state = rng.getstate()
-            ranked = _rooms(rng, store)
+            ranked = _capacities(rng, store)
             rng.setstate(state)
-            compared = _rooms(rng, store)
+            compared = _capacities(rng, store)
             ranking = WorkerRanking(ready, ranked)
             for index in ready.waiting:
                 found = _place(ranking.best(key(index)), ready, index)
-                chosen = best_room(ready, key(index), compared)
+                chosen = best_worker(ready, key(index), compared)
                 expected = _place(chosen, ready, index)
                 message = f'seed {seed}, task {index}'
                 self.assertThat(found, matchers.Equals(expected), message)
 
 
-def _place(room: WorkerRoom | None, ready: ReadyStep, index: int) -> str:
+def _place(worker: WorkerCapacity | None, ready: ReadyStep, index: int) -> str:
     """Place a task on a worker; return its name, or '' without one."""
-    if room is None:
+    if worker is None:
         return ''
-    room.add(key(index), ready.spec)
-    return room.incarnation.report.worker
+    worker.add(key(index), ready.spec)
+    return worker.incarnation.report.worker
 
 
 class TestBesideServing(testtools.TestCase):
@@ -123,9 +126,9 @@
 def _ranking_of_all(
     plan: Plan,
     ready: ReadyStep,
-    rooms: list[WorkerRoom],
+    workers: list[WorkerCapacity],
 ) -> WorkerRanking:
-    return WorkerRanking(ready, rooms)
+    return WorkerRanking(ready, workers)
 
 
 def _full_pool_starts(seed: int) -> list[tuple[str, str]]:
--- a/tests/scheduling/test_losses.py
+++ b/tests/scheduling/test_losses.py
@@ -5,7 +5,7 @@
 import testtools
 from testtools import matchers
 
-from wigeonreach.scheduling._incarnation import Incarnation, room_of
+from wigeonreach.scheduling._incarnation import Incarnation, resources_of
 from wigeonreach.scheduling._losses import (
     DomainLoss,
     LossCorrelation,
@@ -39,7 +39,7 @@
 ) -> Incarnation:
     worker = StandInWorker('alive', 'vm-alive', rack=rack, zone=zone)
     report = worker.report()
-    return Incarnation(report, 0, heard_s, room_of(report))
+    return Incarnation(report, 0, heard_s, resources_of(report))
 
 
 class TestDomainLoss(testtools.TestCase):
--- a/tests/scheduling/test_random_days.py
+++ b/tests/scheduling/test_random_days.py
@@ -10,7 +10,7 @@
 from tests.builders_days import RandomDay, play
 from wigeonreach.jobs import JobPhase
 from wigeonreach.lab import BrokenRuleError
-from wigeonreach.scheduling import _incarnation, _room_left, _workers
+from wigeonreach.scheduling import _incarnation, _worker_capacity, _workers
 from wigeonreach.standins import _worker
 
 _DAYS = 25
@@ -48,9 +48,9 @@
     def test_ignored_stopping_runs_are_detected(self) -> None:
         """Only assigned runs count, not those that are being stopped."""
         with mock.patch.object(
-            _room_left,
-            '_add_known',
-            lambda room, key, store: None,
+            _worker_capacity,
+            '_add_task',
+            lambda capacity, key, store: None,
         ):
             self.assertRaises(BrokenRuleError, self._play_all)
 
--- a/tests/scheduling/test_scheduler.py
+++ b/tests/scheduling/test_scheduler.py
@@ -50,7 +50,7 @@
         ]
         self.assertThat(running, matchers.Equals([(key(0, 1), 1)]))
 
-    def test_room_of_a_stopping_run_is_taken(self) -> None:
+    def test_resources_of_a_stopping_run_are_taken(self) -> None:
         """A run being stopped uses resources until its end is listed."""
         store = store_with(job(step(1, cpu_millicores=_FULL)))
         lead = FakeLead(store, workers(1))
@@ -59,9 +59,9 @@
         worker = lead.workers['w0']
         lead.hear(worker)
         self.assertThat(lead.plan(), matchers.HasLength(0))
-        rooms = lead.scheduler.rooms(lead.now_s, {SERVICE})
-        left = rooms['desk'][0].left
-        self.assertThat(left.processors, matchers.Equals(0))
+        capacities = lead.scheduler.available_workers(lead.now_s, {SERVICE})
+        free = capacities['desk'][0].free
+        self.assertThat(free.processors, matchers.Equals(0))
 
     def test_draining_worker_gets_nothing(self) -> None:
         """A run that was assigned to it but did not begin is reassigned."""
@@ -89,7 +89,7 @@
         self.assertThat(lead.workers['w0'].running, matchers.HasLength(0))
 
     def test_failed_task_tries_another_worker(self) -> None:
-        """A task that failed on a worker goes elsewhere if there is room."""
+        """A task that failed on a worker goes elsewhere if there is capacity."""
         lead = FakeLead(store_with(job()), workers(2))
         lead.round()
         first = next(
--- a/tests/scheduling/test_shrinking.py
+++ b/tests/scheduling/test_shrinking.py
@@ -38,7 +38,7 @@
     )
 
 
-class TestShrinkingRoom(testtools.TestCase):
+class TestShrinkingCapacity(testtools.TestCase):
     """A worker with fewer resources than before."""
 
     def test_shrunk_worker_takes_only_what_fits(self) -> None:
@@ -51,7 +51,7 @@
         self.assertThat(lead.workers['w0'].running, matchers.HasLength(8))
 
     def test_shrunk_worker_keeps_what_runs_and_takes_nothing(self) -> None:
-        """Its runs continue, and none is added until there is room again."""
+        """Its runs continue, and none is added until there is capacity again."""
         store = store_with(job(step(20)))
         lead = FakeLead(store, workers(1))
         worker = lead.workers['w0']
@@ -95,7 +95,7 @@
         lead.hear(worker)
         self.assertThat(lead.plan(), matchers.HasLength(0))
 
-    def test_serving_tasks_wait_for_room_too(self) -> None:
+    def test_serving_tasks_wait_for_capacity_too(self) -> None:
         """They precede batch work, but don't exceed a worker's resources."""
         store = store_with(
             job(serving_step(2, cpu_millicores=9000, spread_limit=0)),
@@ -106,7 +106,7 @@
             lead.round()
         self.assertThat(lead.workers['w0'].running, matchers.HasLength(0))
 
-    def test_no_start_goes_over_the_reported_room(self) -> None:
+    def test_no_start_goes_over_the_reported_capacity(self) -> None:
         """Many random runs, in which resources change with every heartbeat."""
         for seed in range(_DRAWS):
             rng = random.Random(seed)
--- a/tests/scheduling/test_stale_heartbeats.py
+++ b/tests/scheduling/test_stale_heartbeats.py
@@ -85,7 +85,7 @@
         after.round()
         self.assertThat(self.worker.running, running)
 
-    def test_room_that_shrank_is_seen_once_the_worker_is_known(self) -> None:
+    def test_shrunk_capacity_is_seen_once_the_worker_is_known(self) -> None:
         """A start that was lost with the former leader is withdrawn later."""
         self.worker.running.clear()
         after = FakeLead(
--- a/tests/scheduling/test_workers.py
+++ b/tests/scheduling/test_workers.py
@@ -135,7 +135,7 @@
 class TestRoomOfWorkers(testtools.TestCase):
     """Free resources are recomputed after every change on a worker."""
 
-    def test_room_follows_starts_ends_and_reports(self) -> None:
+    def test_capacity_follows_starts_ends_and_reports(self) -> None:
         """A start uses resources, and its end frees them."""
         store = store_with(job(step(1)))
         lead = FakeLead(store, workers(1))
@@ -151,7 +151,7 @@
         lead.hear(worker)
         self.assertThat(self._left(lead), matchers.Equals(8))
 
-    def test_start_that_is_not_recorded_takes_no_room(self) -> None:
+    def test_start_that_is_not_recorded_takes_no_capacity(self) -> None:
         """A plan whose record failed is repeated with the same resources."""
         store = store_with(job(step(1)))
         lead = FakeLead(store, workers(1))
@@ -162,8 +162,8 @@
             self.assertThat(self._left(lead), matchers.Equals(16))
 
     def _left(self, lead: FakeLead) -> float:
-        rooms = lead.scheduler.rooms(lead.now_s, {SERVICE})
-        return rooms[SERVICE][0].left.processors
+        capacities = lead.scheduler.available_workers(lead.now_s, {SERVICE})
+        return capacities[SERVICE][0].free.processors
 
 
 class TestLeases(testtools.TestCase):
