--- a/bench/bench_deciding.py
+++ b/bench/bench_deciding.py
@@ -119,23 +119,23 @@
         for report in reports:
             self._hear(report)
         with self._timed():
-            self.scheduler.lost(self.now_s)
+            self.scheduler.take_lost_runs(self.now_s)
             starts = self.scheduler.plan(self.now_s, 0)
-            self.scheduler.moves(self.now_s)
+            self.scheduler.plan_moves(self.now_s)
         self.commit(RecordRuns(1, starts=starts))
         for worker in heard:
             self._answer(worker)
 
     def _hear(self, report: WorkerReport) -> None:
         with self._timed():
-            heard = self.scheduler.hear(report, self.now_s)
+            result = self.scheduler.process_heartbeat(report, self.now_s)
         self.heartbeats += 1
-        if heard is None:
+        if result is None:
             return
-        self.commit(RecordRuns(1, ends=heard.ends))
+        self.commit(RecordRuns(1, ends=result.ends))
         numbers = [ended.number for ended in report.ended]
-        noted = max((heard.incarnation.noted, *numbers))
-        heard.incarnation.noted = noted
+        last_end = max((result.incarnation.last_recorded_end, *numbers))
+        result.incarnation.last_recorded_end = last_end
 
     def _answer(self, worker: _Worker) -> None:
         name = worker.stand_in.name
--- a/src/wigeonreach/core/_advice_poller.py
+++ b/src/wigeonreach/core/_advice_poller.py
@@ -1,4 +1,4 @@
-"""Forward the scheduler's questions to the advisor while leading."""
+"""Forward the scheduler's advice requests to the advisor while leading."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from wigeonreach.core._clock import steady_s
 from wigeonreach.core._term import LeaderTerm
 from wigeonreach.observe import Metrics
-from wigeonreach.scheduling._advice import Advice, Question
+from wigeonreach.scheduling._advice import Advice, AdviceRequest
 
 _POLL_INTERVAL_S = 0.05
 # The advisor serves one call per process at a time; a second one queues there.
@@ -18,12 +18,12 @@
 class AdvisorApi(Protocol):
     """Service that knows which workers may run a step."""
 
-    async def advise(self, question: Question) -> Advice | None:
+    async def advise(self, request: AdviceRequest) -> Advice | None:
         """Return the tickets, or None without an answer."""
 
 
 class AdvicePoller:
-    """Polls the scheduler for questions and sends them to the advisor.
+    """Polls the scheduler for advice requests and sends them to the advisor.
 
     Parameters
     ----------
@@ -53,23 +53,23 @@
         try:
             while True:
                 await asyncio.sleep(_POLL_INTERVAL_S)
-                for question in self._term.scheduler.advice.questions():
-                    task = asyncio.create_task(self._ask(question))
+                for request in self._term.scheduler.advice.pop_requests():
+                    task = asyncio.create_task(self._ask(request))
                     self._tasks.add(task)
                     task.add_done_callback(self._tasks.discard)
         finally:
             for running in self._tasks:
                 running.cancel()
 
-    async def _ask(self, question: Question) -> None:
+    async def _ask(self, request: AdviceRequest) -> None:
         async with self._call_slots:
             sent_s = steady_s()
-            advice = await self._api.advise(question)
+            advice = await self._api.advise(request)
         self._metrics.observe_s('advice', steady_s() - sent_s)
         outcome = 'none' if advice is None else 'answered'
         self._metrics.count('advice_calls', outcome)
         if advice is not None and advice.unreadable:
             self._metrics.count('advice_rows_skipped', amount=advice.unreadable)
-        # The validity of tickets counts from when the question was sent.
-        self._term.scheduler.advice.note(question, advice, sent_s)
+        # The validity of tickets counts from when the request was sent.
+        self._term.scheduler.advice.record_advice(request, advice, sent_s)
         self._term.wake.set()
--- a/src/wigeonreach/core/_null_platform.py
+++ b/src/wigeonreach/core/_null_platform.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from wigeonreach.scheduling._advice import Advice, Question
+from wigeonreach.scheduling._advice import Advice, AdviceRequest
 from wigeonreach.scheduling._vms import OrderResult, VmRecord
 
 
@@ -29,6 +29,6 @@
 class NoAdvisor:
     """Advisor that allows no worker to run a step."""
 
-    async def advise(self, question: Question) -> Advice | None:
+    async def advise(self, request: AdviceRequest) -> Advice | None:
         """Return no tickets."""
         return Advice({}, 0)
--- a/src/wigeonreach/core/_term.py
+++ b/src/wigeonreach/core/_term.py
@@ -148,7 +148,7 @@
 
     def mark_leaving(self, worker: str) -> None:
         """Record that a worker announced its shutdown."""
-        self.scheduler.workers.leave(worker, steady_s())
+        self.scheduler.workers.mark_leaving(worker, steady_s())
 
     async def run(self) -> None:
         """Run scheduling cycles until cancelled."""
@@ -195,8 +195,8 @@
         now_s: float,
     ) -> None:
         ends = self._process_heartbeats(received, now_s)
-        lost = self.scheduler.lost(now_s)
-        crashes = self.scheduler.crashed(now_s)
+        lost = self.scheduler.take_lost_runs(now_s)
+        crashes = self.scheduler.crashes_to_record(now_s)
         self._log.runs_reassigned(lost)
         self._log.beliefs_changed(self.scheduler.notes)
         self.scheduler.notes.clear()
@@ -219,15 +219,17 @@
             known = self.scheduler.workers.incarnations.get(
                 heartbeat.report.worker
             )
-            heard = self.scheduler.hear(heartbeat.report, heartbeat.received_s)
-            if heard is None:
+            result = self.scheduler.process_heartbeat(
+                heartbeat.report, heartbeat.received_s
+            )
+            if result is None:
                 self._log_ignored(heartbeat.report)
                 heartbeat.resolve(WorkerOrders())
                 continue
-            heartbeat.incarnation = heard.incarnation
-            ends.extend(heard.ends)
-            if heard.stalled:
-                self._log.runs_stopped(heard)
+            heartbeat.incarnation = result.incarnation
+            ends.extend(result.ends)
+            if result.stalled:
+                self._log.runs_stopped(result)
             if known is None:
                 self._log.worker_joined(heartbeat.report)
         self._metrics.count('heartbeats', amount=len(received))
@@ -237,8 +239,8 @@
         if self.scheduler.is_foreign(report):
             self._log.heartbeat_foreign(report)
             return
-        is_gone = self.scheduler.workers.is_gone(report.worker)
-        self._log.heartbeat_late(report, is_gone)
+        has_ended = self.scheduler.workers.has_ended(report.worker)
+        self._log.heartbeat_late(report, has_ended)
 
     async def _record_ends(
         self,
@@ -303,7 +305,7 @@
         incarnation = heartbeat.incarnation
         if incarnation is None:
             return WorkerOrders()
-        return self.scheduler.answers.due(
+        return self.scheduler.answers.answer_if_due(
             incarnation, heartbeat.received_s, now_s
         )
 
@@ -337,4 +339,6 @@
         # From the incarnation's own report: a repeated heartbeat may come from
         # another writer.
         for ended in incarnation.report.ended:
-            incarnation.noted = max(incarnation.noted, ended.number)
+            incarnation.last_recorded_end = max(
+                incarnation.last_recorded_end, ended.number
+            )
--- a/src/wigeonreach/core/_term_log.py
+++ b/src/wigeonreach/core/_term_log.py
@@ -16,9 +16,9 @@
     run_name,
 )
 from wigeonreach.observe import LogEvent, Logger, Metrics
-from wigeonreach.scheduling import Heard
-from wigeonreach.scheduling._notes import Note
-from wigeonreach.scheduling._objectives import objective_of
+from wigeonreach.scheduling import HeartbeatResult
+from wigeonreach.scheduling._notes import LogNote
+from wigeonreach.scheduling._objectives import objective_s
 from wigeonreach.wire._worker_messages import WorkerReport
 
 
@@ -89,9 +89,9 @@
             running=len(report.running),
         )
 
-    def heartbeat_late(self, report: WorkerReport, is_gone: bool) -> None:
+    def heartbeat_late(self, report: WorkerReport, has_ended: bool) -> None:
         """Log a heartbeat that is out of order or of a dead incarnation."""
-        reason = 'incarnation-over' if is_gone else 'overtaken'
+        reason = 'incarnation-over' if has_ended else 'overtaken'
         self._metrics.count('heartbeats_late', reason)
         self._log.info(
             LogEvent.HEARTBEAT_LATE,
@@ -111,16 +111,16 @@
             service=report.service,
         )
 
-    def runs_stopped(self, heard: Heard) -> None:
+    def runs_stopped(self, result: HeartbeatResult) -> None:
         """Log runs that are stopped because they make no progress."""
         self._log.info(
             LogEvent.RUNS_STOPPED,
             reason='no progress',
-            worker=heard.incarnation.report.worker,
-            runs=[f'{task.job_id}/{run}' for task, run in heard.stalled],
+            worker=result.incarnation.report.worker,
+            runs=[f'{task.job_id}/{run}' for task, run in result.stalled],
         )
 
-    def beliefs_changed(self, notes: Iterable[Note]) -> None:
+    def beliefs_changed(self, notes: Iterable[LogNote]) -> None:
         """Log and count changed beliefs."""
         for note in notes:
             self._metrics.count('beliefs', note.event.name.lower())
@@ -178,7 +178,7 @@
             queue=job.queue.name,
             phase=job.phase.name.lower(),
             took_s=round(took_s, 3),
-            objective_s=round(objective_of(job), 3),
+            objective_s=round(objective_s(job), 3),
         )
 
     def runs_ordered(self, starts: tuple[RunStarted, ...]) -> None:
--- a/src/wigeonreach/core/_vm_actions.py
+++ b/src/wigeonreach/core/_vm_actions.py
@@ -140,7 +140,7 @@
         held = self._orders.held_vms()
         moves = [
             move
-            for move in self._term.scheduler.moves(steady_s(), held)
+            for move in self._term.scheduler.plan_moves(steady_s(), held)
             if self._orders.may_order(move.vm)
         ]
         # Recorded before they are sent, so that the next leader knows of them.
--- a/src/wigeonreach/core/_vm_holds.py
+++ b/src/wigeonreach/core/_vm_holds.py
@@ -11,7 +11,7 @@
 from __future__ import annotations
 
 from wigeonreach.jobs import JobStore
-from wigeonreach.scheduling._vms import ORDER_LASTS_S
+from wigeonreach.scheduling._vms import ORDER_TIMEOUT_S
 
 # Upper bound of the delay of clocks and replies.
 _MARGIN_S = 0.5
@@ -116,5 +116,5 @@
         """Return the time at which any leader may send an order for a VM."""
         answered_s = self._answer_recorded_s.get(vm)
         if answered_s is None:
-            answered_s = self._recorded_s[vm] + ORDER_LASTS_S
+            answered_s = self._recorded_s[vm] + ORDER_TIMEOUT_S
         return answered_s + self._min_gap_s
--- a/src/wigeonreach/lab/_day.py
+++ b/src/wigeonreach/lab/_day.py
@@ -25,10 +25,10 @@
     services,
 )
 from wigeonreach.lab._fleet import Fleet, FleetPlan, Vm
-from wigeonreach.lab._virtual_leader import VirtualLead, commit
 from wigeonreach.lab._outcome import Outcome
+from wigeonreach.lab._virtual_leader import VirtualLead, commit
 from wigeonreach.scheduling import SchedulingSettings
-from wigeonreach.scheduling._objectives import objective_of
+from wigeonreach.scheduling._objectives import objective_s
 from wigeonreach.scheduling._vms import VmPhase, VmRecord
 from wigeonreach.wire._worker_messages import WorkerOrders
 
@@ -186,7 +186,7 @@
             if vm.heartbeat_sent_s is None or incarnation is None:
                 vm.heartbeat_sent_s = None
                 continue
-            orders = self._leader.scheduler.answers.due(
+            orders = self._leader.scheduler.answers.answer_if_due(
                 incarnation,
                 vm.heartbeat_sent_s,
                 self._now_s,
@@ -204,7 +204,7 @@
 
     def _move_vms(self) -> None:
         scheduler = self._leader.scheduler
-        for move in scheduler.moves(self._now_s):
+        for move in scheduler.plan_moves(self._now_s):
             worker = self.fleet.vms[move.vm].worker
             if worker is not None:
                 scheduler.workers.note_ordered(worker.incarnation, self._now_s)
@@ -240,10 +240,10 @@
         )
         self.outcome.served_s += serving * _STEP_S
         for arrival in self._pop_completed():
-            objective_s = objective_of(self.store.jobs[arrival.spec.job_id])
+            job_objective_s = objective_s(self.store.jobs[arrival.spec.job_id])
             took_s = self._now_s - arrival.at_s
             ratios = self.outcome.ratios[arrival.kind]
-            ratios.append(took_s / objective_s)
+            ratios.append(took_s / job_objective_s)
 
     def _pop_completed(self) -> Iterator[Arrival]:
         """Remove and yield the jobs that completed since the last step."""
--- a/src/wigeonreach/lab/_variants.py
+++ b/src/wigeonreach/lab/_variants.py
@@ -107,14 +107,16 @@
             ),
             _without('lookahead', 'pooling._pools:_LOOKAHEAD_S', 0.0),
             _without('give-back', 'pooling._pools:_SETTLE_S', math.inf),
-            _without('slow order', '_progress:ProgressWatch.slow', _no_map),
+            _without('slow order', '_progress:ProgressTracker.slow', _no_map),
             _without(
                 'moves off slow workers',
-                '_progress:ProgressWatch.laggards',
+                '_progress:ProgressTracker.stragglers',
                 _nothing,
             ),
             _without(
-                'progress watch', '_progress:ProgressWatch.note', _nothing
+                'progress watch',
+                '_progress:ProgressTracker.on_heartbeat',
+                _nothing,
             ),
             _without(
                 'quarantine',
--- a/src/wigeonreach/lab/_virtual_leader.py
+++ b/src/wigeonreach/lab/_virtual_leader.py
@@ -14,7 +14,11 @@
     decode_reply,
     encode_command,
 )
-from wigeonreach.scheduling import Heard, Scheduler, SchedulingSettings
+from wigeonreach.scheduling import (
+    HeartbeatResult,
+    Scheduler,
+    SchedulingSettings,
+)
 from wigeonreach.wire._worker_messages import WorkerReport
 
 _INDEXES = itertools.count(1)
@@ -56,29 +60,29 @@
         commit(store, BeginTerm(term))
         self.scheduler = Scheduler(store, term, now_s, settings)
 
-    def take(self, report: WorkerReport) -> Heard | None:
+    def take(self, report: WorkerReport) -> HeartbeatResult | None:
         """Process a heartbeat and record the ended runs that it reports."""
-        heard = self.scheduler.hear(report, self.now_s)
-        if heard is None:
+        result = self.scheduler.process_heartbeat(report, self.now_s)
+        if result is None:
             return None
-        if heard.ends:
-            commit(self.store, RecordRuns(self.term, ends=heard.ends))
-        heard.incarnation.noted = max(
+        if result.ends:
+            commit(self.store, RecordRuns(self.term, ends=result.ends))
+        result.incarnation.last_recorded_end = max(
             (
-                heard.incarnation.noted,
+                result.incarnation.last_recorded_end,
                 *(ended.number for ended in report.ended),
             ),
         )
-        return heard
+        return result
 
     def plan(self) -> tuple[RunStarted, ...]:
         """Record lost and crashed runs, then the runs to start."""
-        lost = self.scheduler.lost(self.now_s)
-        crashed = self.scheduler.crashed(self.now_s)
-        if lost or crashed:
-            record = RecordRuns(self.term, ends=lost, crashes=crashed)
+        lost = self.scheduler.take_lost_runs(self.now_s)
+        crashes = self.scheduler.crashes_to_record(self.now_s)
+        if lost or crashes:
+            record = RecordRuns(self.term, ends=lost, crashes=crashes)
             commit(self.store, record)
-            self.scheduler.crashes.note_recorded(crashed)
+            self.scheduler.crashes.note_recorded(crashes)
         starts = self.scheduler.plan(self.now_s, self.now_s * 1000)
         if starts:
             commit(self.store, RecordRuns(self.term, starts=starts))
--- a/src/wigeonreach/platform/_advisor.py
+++ b/src/wigeonreach/platform/_advisor.py
@@ -14,7 +14,7 @@
     decode_entries,
 )
 from wigeonreach.platform._session import PlatformSession, expect_ok
-from wigeonreach.scheduling._advice import Advice, Question
+from wigeonreach.scheduling._advice import Advice, AdviceRequest
 from wigeonreach.wire._worker_messages import worker_id_of
 
 _TIMEOUT_S = 3.0
@@ -51,12 +51,12 @@
         self._address = address
         self._session = PlatformSession(address, _TIMEOUT_S, logger)
 
-    async def advise(self, question: Question) -> Advice | None:
+    async def advise(self, request: AdviceRequest) -> Advice | None:
         """Return the tickets for a step, or None if no response arrived."""
         if not self._address:
             return None
-        job_id, occurrence, step = question.step
-        incarnations = {worker_id_of(name): name for name in question.workers}
+        job_id, occurrence, step = request.step
+        incarnations = {worker_id_of(name): name for name in request.workers}
         body: dict[str, object] = {
             'step': f'{job_id}.{occurrence}.{step}',
             'workers': tuple(incarnations),
--- a/src/wigeonreach/platform/_core_settings.py
+++ b/src/wigeonreach/platform/_core_settings.py
@@ -40,8 +40,8 @@
         scheduling=SchedulingSettings(
             move_s=file.bounds.migration_s,
             far_factor=file.bounds.remote_factor,
-            maintained_s=file.bounds.maintenance_s,
+            maintenance_s=file.bounds.maintenance_s,
             stop_s=file.bounds.kill_grace_ms / _MS_PER_S,
-            notice_s=file.bounds.notice_ms / _MS_PER_S,
+            unavailable_after_s=file.bounds.notice_ms / _MS_PER_S,
         ),
     )
--- a/src/wigeonreach/scheduling/_advice.py
+++ b/src/wigeonreach/scheduling/_advice.py
@@ -28,7 +28,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Question:
+class AdviceRequest:
     """A request to the advisor: which of these workers may run a step."""
 
     step: StepKey
@@ -81,7 +81,7 @@
     def __init__(self) -> None:
         """Start with an empty cache."""
         self._by_step: dict[StepKey, _StepTickets] = {}
-        self._pending: dict[StepKey, Question] = {}
+        self._pending: dict[StepKey, AdviceRequest] = {}
 
     def ticket(self, key: TaskKey, worker: str, now_s: float) -> str:
         """Return the valid ticket for a task on a worker, or an empty text."""
@@ -91,7 +91,7 @@
         ticket, until_s = known.tickets.get(worker, ('', 0))
         return ticket if until_s - now_s > _MIN_VALIDITY_S else ''
 
-    def allowed(
+    def workers_with_ticket(
         self,
         step: ReadyStep,
         workers: Iterable[WorkerCapacity],
@@ -105,26 +105,26 @@
             for worker in candidates
             if self.ticket(key, worker.incarnation.report.worker, now_s)
         ]
-        if len(with_ticket) < len(step.waiting):
+        if len(with_ticket) < len(step.waiting_tasks):
             self._request_tickets(step, candidates, now_s)
         return with_ticket
 
-    def questions(self) -> list[Question]:
+    def pop_requests(self) -> list[AdviceRequest]:
         """Return the pending requests and mark them as in flight."""
         asked = list(self._pending.values())
         self._pending.clear()
-        for question in asked:
-            self._by_step[question.step].is_requested = True
+        for request in asked:
+            self._by_step[request.step].is_requested = True
         return asked
 
-    def note(
+    def record_advice(
         self,
-        question: Question,
+        request: AdviceRequest,
         advice: Advice | None,
         now_s: float,
     ) -> None:
         """Store the answer to a request; None if the call failed."""
-        known = self._by_step.setdefault(question.step, _StepTickets())
+        known = self._by_step.setdefault(request.step, _StepTickets())
         known.is_requested = False
         known.next_request_s = now_s + _RETRY_DELAY_S
         if advice is None:
@@ -151,7 +151,7 @@
         if known.is_requested or now_s < known.next_request_s:
             return
         count = min(
-            len(step.waiting) * _WORKERS_PER_TASK, _MAX_WORKERS_PER_CALL
+            len(step.waiting_tasks) * _WORKERS_PER_TASK, _MAX_WORKERS_PER_CALL
         )
         fitting = [
             worker
@@ -163,7 +163,7 @@
             worker.incarnation.report.worker for worker in fitting[:count]
         )
         if workers:
-            self._pending[name] = Question(name, workers)
+            self._pending[name] = AdviceRequest(name, workers)
 
 
 def _step_of(key: TaskKey) -> StepKey:
--- a/src/wigeonreach/scheduling/_answers.py
+++ b/src/wigeonreach/scheduling/_answers.py
@@ -7,9 +7,9 @@
 from wigeonreach.jobs import JobStore, Run, run_name
 from wigeonreach.observe import LogEvent
 from wigeonreach.scheduling._advice import TicketCache
+from wigeonreach.scheduling._disruption_budget import DisruptionBudget
 from wigeonreach.scheduling._incarnation import Incarnation
-from wigeonreach.scheduling._moving_out import DisruptionBudget
-from wigeonreach.scheduling._notes import Note
+from wigeonreach.scheduling._notes import LogNote
 from wigeonreach.scheduling._orders import (
     ValidTickets,
     answer_if_due,
@@ -45,7 +45,7 @@
         advice: TicketCache,
         disruption_budget: DisruptionBudget,
         stopping: set[Run],
-        notes: list[Note],
+        notes: list[LogNote],
     ) -> None:
         """Start with no answer sent."""
         self._notes = notes
@@ -89,7 +89,7 @@
             return self._stopping
         return self._stopping - review.withheld
 
-    def due(
+    def answer_if_due(
         self,
         incarnation: Incarnation,
         came_s: float,
@@ -137,7 +137,7 @@
             why = stop_reason(run, incarnation, self._store)
             reason = f'{run_name(run)}: {why}'
             worker = incarnation.report.worker
-            self._notes.append(Note(LogEvent.RUNS_STOPPED, worker, reason))
+            self._notes.append(LogNote(LogEvent.RUNS_STOPPED, worker, reason))
 
     def _has_batch(self, incarnation: Incarnation) -> bool:
         """Whether a worker has batch runs, assigned or still running."""
--- a/src/wigeonreach/scheduling/_available_workers.py
+++ b/src/wigeonreach/scheduling/_available_workers.py
@@ -7,13 +7,13 @@
 
 from wigeonreach.jobs import JobStore, Run
 from wigeonreach.scheduling._capacity_cache import WorkerCapacityCache
-from wigeonreach.scheduling._crashes import CrashWatch
+from wigeonreach.scheduling._crashes import CrashTracker
 from wigeonreach.scheduling._incarnation import Incarnation
 from wigeonreach.scheduling._pacing import Pacing
 from wigeonreach.scheduling._placing import close_trial_workers
-from wigeonreach.scheduling._progress import ProgressWatch
+from wigeonreach.scheduling._progress import ProgressTracker
 from wigeonreach.scheduling._quarantine import WorkerQuarantine
-from wigeonreach.scheduling._vms import ORDER_LASTS_S
+from wigeonreach.scheduling._vms import ORDER_TIMEOUT_S
 from wigeonreach.scheduling._worker_capacity import WorkerCapacity
 from wigeonreach.scheduling._workers import Workers
 
@@ -40,10 +40,10 @@
         self,
         store: JobStore,
         workers: Workers,
-        progress: ProgressWatch,
+        progress: ProgressTracker,
         pacing: Pacing,
         quarantine: WorkerQuarantine,
-        crashes: CrashWatch,
+        crashes: CrashTracker,
         now_s: float,
     ) -> None:
         """Cache nothing yet; exclude VMs whose orders may be unanswered."""
@@ -52,7 +52,7 @@
         self._vms_with_open_orders = frozenset(
             vm for vm, order in store.vm_orders.items() if not order.is_answered
         )
-        self._open_orders_until_s = now_s + ORDER_LASTS_S
+        self._open_orders_until_s = now_s + ORDER_TIMEOUT_S
         self._workers = workers
         self._progress = progress
         self._pacing = pacing
@@ -97,7 +97,7 @@
         for incarnation in self._workers.incarnations.values():
             report = incarnation.report
             is_asked = report.service in services and report.vm not in closed
-            if is_asked and incarnation.may_take(now_s):
+            if is_asked and incarnation.accepts_work(now_s):
                 by_service.setdefault(report.service, []).append(incarnation)
         return {
             service: self._of_pool(incarnations, stopping, now_s)
@@ -122,7 +122,7 @@
             report = worker.incarnation.report
             is_paced = self._pacing.is_paced(report.worker)
             worker.is_slow = report.worker in slow or is_paced
-            worker.has_crashed_lately = self._crashes.has_crashed_lately(
+            worker.has_crashed_recently = self._crashes.has_crashed_recently(
                 report.vm_or_address,
                 now_s,
             )
--- a/src/wigeonreach/scheduling/_capacity_cache.py
+++ b/src/wigeonreach/scheduling/_capacity_cache.py
@@ -11,7 +11,7 @@
 
 from wigeonreach.jobs import JobStore, Run
 from wigeonreach.scheduling._incarnation import Incarnation
-from wigeonreach.scheduling._progress import ProgressWatch
+from wigeonreach.scheduling._progress import ProgressTracker
 from wigeonreach.scheduling._worker_capacity import (
     WorkerCapacity,
     worker_capacity,
@@ -29,7 +29,7 @@
         Tells how long runs have been going on.
     """
 
-    def __init__(self, store: JobStore, progress: ProgressWatch) -> None:
+    def __init__(self, store: JobStore, progress: ProgressTracker) -> None:
         """Start with an empty cache."""
         self._store = store
         self._progress = progress
--- a/src/wigeonreach/scheduling/_choosing.py
+++ b/src/wigeonreach/scheduling/_choosing.py
@@ -7,7 +7,7 @@
 
 from wigeonreach.jobs import StepSpec, TaskKey
 from wigeonreach.scheduling._ready import ReadyStep, max_tasks_per_worker
-from wigeonreach.scheduling._suspects import CRASHES_BEFORE_TRIAL, Apart
+from wigeonreach.scheduling._suspects import CRASHES_BEFORE_ISOLATION, Isolation
 from wigeonreach.scheduling._worker_capacity import WorkerCapacity
 
 # Costs of placing a task on a worker; the worker with the lowest sum is chosen.
@@ -69,7 +69,7 @@
     def best(
         self,
         key: TaskKey,
-        isolation: Apart = Apart.FROM_NOTHING,
+        isolation: Isolation = Isolation.FROM_NOTHING,
     ) -> WorkerCapacity | None:
         """Return the best worker for one task, or None if none fits.
 
@@ -87,7 +87,7 @@
             # tasks of its step are, so the shared ranking does not apply.
             crashes = task.crash_count if task else 0
             workers = self._workers
-            if isolation is not Apart.FROM_NOTHING:
+            if isolation is not Isolation.FROM_NOTHING:
                 workers = [
                     worker
                     for worker in workers
@@ -172,9 +172,9 @@
     others = len(worker.suspects - {job_id})
     beside = _SUSPECTS_TOGETHER_COST if crashes else _BESIDE_SUSPECT_COST
     cost += others * beside
-    if crashes >= CRASHES_BEFORE_TRIAL and worker.runs_other_jobs(job_id):
+    if crashes >= CRASHES_BEFORE_ISOLATION and worker.runs_other_jobs(job_id):
         cost += _NOT_ISOLATED_COST
-    if crashes and worker.has_crashed_lately:
+    if crashes and worker.has_crashed_recently:
         cost += _RECENT_CRASH_COST
     return cost
 
--- a/src/wigeonreach/scheduling/_crashes.py
+++ b/src/wigeonreach/scheduling/_crashes.py
@@ -30,10 +30,10 @@
     LossCorrelation,
     WorkerLoss,
 )
-from wigeonreach.scheduling._notes import Note
-from wigeonreach.scheduling._progress import ProgressWatch
+from wigeonreach.scheduling._notes import LogNote
+from wigeonreach.scheduling._progress import ProgressTracker
 from wigeonreach.scheduling._suspects import ISOLATION_S, Suspects
-from wigeonreach.scheduling._vms import ORDER_LASTS_S
+from wigeonreach.scheduling._vms import ORDER_TIMEOUT_S
 from wigeonreach.scheduling._workers import Workers
 
 _MS_PER_S = 1000
@@ -50,7 +50,7 @@
 _RECENT_CRASH_S = 20.0
 
 
-class CrashWatch:
+class CrashTracker:
     """Tracks the workers lost in a term, and the evidence against their runs.
 
     Parameters
@@ -74,11 +74,11 @@
         self,
         store: JobStore,
         workers: Workers,
-        progress: ProgressWatch,
+        progress: ProgressTracker,
         now_s: float,
     ) -> None:
         """Start without losses."""
-        self.notes: list[Note] = []
+        self.notes: list[LogNote] = []
         self._store = store
         self._workers = workers
         self._progress = progress
@@ -217,7 +217,7 @@
         for crashed in crashes:
             self._unrecorded.pop((crashed.task, crashed.run), None)
 
-    def has_crashed_lately(self, vm: str, now_s: float) -> bool:
+    def has_crashed_recently(self, vm: str, now_s: float) -> bool:
         """Whether a VM recently lost a worker to itself or to its runs."""
         return now_s - self._vm_crashed_s.get(vm, _NEVER_S) < _RECENT_CRASH_S
 
@@ -300,7 +300,7 @@
         task = self._store.task_of(key)
         return LostRun(
             key.job_id,
-            self._progress.worked_s(run, heard_s),
+            self._progress.reported_for_s(run, heard_s),
             is_at_start=not is_listed,
             crashes=task.crash_count if task else 0,
         )
@@ -310,7 +310,7 @@
         report = incarnation.report
         ordered_s = self._last_order_s(report.worker, report.vm)
         was_up = incarnation.first_heard_s <= ordered_s
-        return was_up and incarnation.heard_s < ordered_s + ORDER_LASTS_S
+        return was_up and incarnation.heard_s < ordered_s + ORDER_TIMEOUT_S
 
     def _last_order_s(self, worker: str, vm: str) -> float:
         """Return when an order was last given for a worker, or for its VM."""
@@ -391,7 +391,7 @@
                 yield loss
 
     def _add_note(self, loss: WorkerLoss, reason: str) -> None:
-        self.notes.append(Note(LogEvent.WORKER_CRASHED, loss.worker, reason))
+        self.notes.append(LogNote(LogEvent.WORKER_CRASHED, loss.worker, reason))
 
 
 def _worker_loss(incarnation: Incarnation, now_s: float) -> WorkerLoss:
--- a/src/wigeonreach/scheduling/_moving_out.py
+++ b/src/wigeonreach/scheduling/_disruption_budget.py
@@ -21,7 +21,7 @@
     TaskPhase,
 )
 from wigeonreach.scheduling._incarnation import SILENT_AFTER_S, Incarnation
-from wigeonreach.scheduling._progress import ProgressWatch
+from wigeonreach.scheduling._progress import ProgressTracker
 from wigeonreach.scheduling._settings import SchedulingSettings
 
 # Limit for steps that don't set one.
@@ -85,7 +85,7 @@
         self,
         store: JobStore,
         incarnations: Mapping[str, Incarnation],
-        progress: ProgressWatch,
+        progress: ProgressTracker,
         settings: SchedulingSettings,
     ) -> None:
         """Take over the runs that earlier leaders started or stopped."""
@@ -99,7 +99,9 @@
         # Greatest age of a heartbeat that shows a task as serving.  If the task
         # failed right after it, a stop that relied on it must arrive before the
         # failed task counts as unavailable.
-        max_age_s = min(SILENT_AFTER_S, settings.notice_s - _ANSWER_TIMEOUT_S)
+        max_age_s = min(
+            SILENT_AFTER_S, settings.unavailable_after_s - _ANSWER_TIMEOUT_S
+        )
         self._max_report_age_s = max(max_age_s, _MIN_REPORT_AGE_S)
         # When the stop of each run was last put into an answer.
         self._stop_sent_s: dict[Run, float] = {}
@@ -233,7 +235,7 @@
             return False
         if _is_listed_serving(incarnation, run):
             return True
-        worked_s = self._progress.worked_s(run, incarnation.heard_s)
+        worked_s = self._progress.reported_for_s(run, incarnation.heard_s)
         return worked_s < _STARTUP_TIMEOUT_S
 
     def _is_within_budget(
--- a/src/wigeonreach/scheduling/_ends.py
+++ b/src/wigeonreach/scheduling/_ends.py
@@ -9,8 +9,8 @@
 from wigeonreach.scheduling._incarnation import Incarnation
 from wigeonreach.scheduling._orders import (
     is_over_cap,
-    unlisted_runs,
     runs_over_capacity,
+    unlisted_runs,
 )
 from wigeonreach.wire._worker_messages import EndedRun
 
@@ -51,7 +51,7 @@
                 ended.checkpoint,
             )
             for ended in incarnation.report.ended
-            if ended.number > incarnation.noted
+            if ended.number > incarnation.last_recorded_end
             and not _is_duplicate_refusal(ended, listed)
         )
 
--- a/src/wigeonreach/scheduling/_evidence.py
+++ b/src/wigeonreach/scheduling/_evidence.py
@@ -10,7 +10,7 @@
 # A task that crashes its worker does so when it starts.  A run that had been
 # running for this long was not the cause; it is several times what heartbeats
 # need to report a start.
-SOUND_S = 10.0
+CLEARED_AFTER_S = 10.0
 # A run counts as just begun for this long after it was first listed: four
 # heartbeats of a busy worker.
 JUST_BEGUN_S = 1.0
@@ -45,7 +45,7 @@
     @property
     def is_sound(self) -> bool:
         """Whether it had run for too long to be the cause."""
-        return self.worked_s >= SOUND_S
+        return self.worked_s >= CLEARED_AFTER_S
 
 
 def evidence_of(runs: Mapping[Run, LostRun]) -> dict[Run, CrashEvidence]:
--- a/src/wigeonreach/scheduling/_incarnation.py
+++ b/src/wigeonreach/scheduling/_incarnation.py
@@ -19,7 +19,7 @@
 _SLOW_CLOCK_RATIO = 1.02
 # Covers the stop at the end of a lease, and a late tick of this process.
 _LEASE_MARGIN_S = 0.3
-LEASE_OVER_S = _LEASE_S * _SLOW_CLOCK_RATIO + _LEASE_MARGIN_S
+LEASE_EXPIRED_S = _LEASE_S * _SLOW_CLOCK_RATIO + _LEASE_MARGIN_S
 # An incarnation that is heard over this time is alive.  Delayed heartbeats of a
 # dead one may still arrive, but not spread over so long.
 PROVEN_ALIVE_S = 1.0
@@ -53,7 +53,7 @@
         When its newest heartbeat arrived.
     resources
         All resources of the worker.
-    noted
+    last_recorded_end
         Number of the last of its ends that is committed.
     ends_at_s
         When it has certainly ended, once it announced its end.
@@ -77,7 +77,7 @@
     first_heard_s: float
     heard_s: float
     resources: Resources
-    noted: int = 0
+    last_recorded_end: int = 0
     ends_at_s: float | None = None
     ordered_s: float = float('-inf')
     unproven_since_s: float = float('-inf')
@@ -111,14 +111,14 @@
     @property
     def lease_over_s(self) -> float:
         """When the end of its lease has certainly ended all of its runs."""
-        return self.heard_s + LEASE_OVER_S
+        return self.heard_s + LEASE_EXPIRED_S
 
     @property
     def is_ending(self) -> bool:
         """Whether it drains or announced its end."""
         return self.report.is_draining or self.ends_at_s is not None
 
-    def may_take(self, now_s: float) -> bool:
+    def accepts_work(self, now_s: float) -> bool:
         """Whether it may be given new work."""
         is_ordered = self.heard_s - self.ordered_s < _ORDER_EFFECT_S
         is_doubtful = self.is_ending or is_ordered or not self.is_proven_alive
@@ -165,7 +165,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Heard:
+class HeartbeatResult:
     """The result of a heartbeat.
 
     Attributes
--- a/src/wigeonreach/scheduling/_locality.py
+++ b/src/wigeonreach/scheduling/_locality.py
@@ -116,7 +116,7 @@
 
 def fits_all_tasks(step: ReadyStep, workers: Iterable[WorkerCapacity]) -> bool:
     """Whether all waiting tasks of a step fit at once, by a simple count."""
-    missing = len(step.waiting)
+    missing = len(step.waiting_tasks)
     first = TaskKey(step.job.spec.job_id, step.occurrence, step.step, 0)
     for worker in workers:
         missing -= worker.count(first, step.spec)
@@ -132,7 +132,7 @@
 def _could_ever_fit(step: ReadyStep, workers: Iterable[WorkerCapacity]) -> bool:
     """Whether a step would fit on the workers if they were empty."""
     spec = step.spec
-    missing = len(step.waiting) if spec.is_gang else 1
+    missing = len(step.waiting_tasks) if spec.is_gang else 1
     for worker in workers:
         if spec.label and spec.label not in worker.incarnation.report.labels:
             continue
--- a/src/wigeonreach/scheduling/_lost_runs.py
+++ b/src/wigeonreach/scheduling/_lost_runs.py
@@ -5,10 +5,10 @@
 from collections.abc import Iterator, Mapping
 
 from wigeonreach.jobs import JobStore, Run, RunEnd, RunEnded
-from wigeonreach.scheduling._crashes import CrashWatch
+from wigeonreach.scheduling._crashes import CrashTracker
 from wigeonreach.scheduling._incarnation import EndedIncarnation
-from wigeonreach.scheduling._progress import ProgressWatch
-from wigeonreach.scheduling._second_runs import copied
+from wigeonreach.scheduling._progress import ProgressTracker
+from wigeonreach.scheduling._speculation import runs_to_copy
 from wigeonreach.scheduling._workers import Workers
 
 # The leader checks leases every 0.05 s.  If a check is this late, the process
@@ -43,13 +43,13 @@
         self,
         store: JobStore,
         workers: Workers,
-        progress: ProgressWatch,
+        progress: ProgressTracker,
         now_s: float,
     ) -> None:
         """Start with no run given up."""
         self._store = store
         self._workers = workers
-        self.crashes = CrashWatch(store, workers, progress, now_s)
+        self.crashes = CrashTracker(store, workers, progress, now_s)
         self._last_check_s = now_s
         self._listening_since_s = now_s
 
@@ -82,7 +82,7 @@
         if not self._has_listened_long(now_s):
             return ()
         incarnations = self._workers.incarnations
-        found = tuple(copied(incarnations, self._store, now_s))
+        found = tuple(runs_to_copy(incarnations, self._store, now_s))
         for incarnation, run in found:
             self.crashes.note_lost(incarnation, (run,), now_s)
         return tuple(
--- a/src/wigeonreach/scheduling/_maintenance.py
+++ b/src/wigeonreach/scheduling/_maintenance.py
@@ -13,8 +13,8 @@
 from collections.abc import Collection
 
 from wigeonreach.jobs import JobStore, Run, VmStep, WaveRecord
+from wigeonreach.scheduling._disruption_budget import DisruptionBudget, is_empty
 from wigeonreach.scheduling._incarnation import Incarnation
-from wigeonreach.scheduling._moving_out import DisruptionBudget, is_empty
 from wigeonreach.scheduling._vms import VmPhase, VmRecord
 from wigeonreach.scheduling._workers import Workers
 from wigeonreach.wire._worker_messages import worker_id_of
@@ -69,7 +69,7 @@
         The incarnations of the workers.
     disruption_budget
         Decides which serving runs may be stopped.
-    maintained_s
+    maintenance_s
         How long a VM is unavailable during its maintenance.
     """
 
@@ -78,10 +78,10 @@
         store: JobStore,
         workers: Workers,
         disruption_budget: DisruptionBudget,
-        maintained_s: float,
+        maintenance_s: float,
     ) -> None:
         """Start with no VM being emptied."""
-        self._maintained_s = maintained_s
+        self._maintenance_s = maintenance_s
         self._busy_ids_cache: frozenset[str] | None = None
         self._store = store
         self._workers = workers
@@ -326,5 +326,7 @@
         if record.worker != worker_id_of(wave.vms[vm].worker):
             return True
         # There is no worker, or one that may have restarted under the same id.
-        is_maintenance_over = self._listed_s - confirmed_s >= self._maintained_s
+        is_maintenance_over = (
+            self._listed_s - confirmed_s >= self._maintenance_s
+        )
         return is_maintenance_over or not record.worker
--- a/src/wigeonreach/scheduling/_notes.py
+++ b/src/wigeonreach/scheduling/_notes.py
@@ -8,7 +8,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Note:
+class LogNote:
     """One change of that view, for a log line.
 
     Attributes
--- a/src/wigeonreach/scheduling/_objectives.py
+++ b/src/wigeonreach/scheduling/_objectives.py
@@ -16,7 +16,7 @@
     return step.estimate_ms / _MS_PER_S or _DEFAULT_ESTIMATE_S
 
 
-def objective_of(job: JobRecord) -> float:
+def objective_s(job: JobRecord) -> float:
     """Return the objective for finishing a job or occurrence, in seconds."""
     total_s = _longest_path_s(
         job.spec.steps, map(task_estimate_s, job.spec.steps)
--- a/src/wigeonreach/scheduling/_orders.py
+++ b/src/wigeonreach/scheduling/_orders.py
@@ -61,7 +61,7 @@
     return WorkerOrders(
         lease_ms=LEASE_MS,
         fence=term,
-        acknowledged=incarnation.noted,
+        acknowledged=incarnation.last_recorded_end,
         starts=tuple(_starts(incarnation, store, stopping, tickets)),
         stops=tuple(_stops(incarnation, store, held, stopping)),
         paces=tuple(_paces(incarnation, store, pacing)),
--- a/src/wigeonreach/scheduling/_pacing.py
+++ b/src/wigeonreach/scheduling/_pacing.py
@@ -45,7 +45,7 @@
         """Drop the pace of a dead worker."""
         self._paces.pop(worker, None)
 
-    def note(self, incarnation: Incarnation, store: JobStore) -> str:
+    def on_heartbeat(self, incarnation: Incarnation, store: JobStore) -> str:
         """Adjust the pace to the tail latencies that a worker reports.
 
         Returns
--- a/src/wigeonreach/scheduling/_placing.py
+++ b/src/wigeonreach/scheduling/_placing.py
@@ -10,9 +10,9 @@
 from wigeonreach.scheduling._advice import TicketCache
 from wigeonreach.scheduling._choosing import WorkerRanking, best_worker
 from wigeonreach.scheduling._locality import DataLocality, fits_all_tasks
-from wigeonreach.scheduling._preempting import Preemption, plan_preemption
+from wigeonreach.scheduling._preemption import Preemption, plan_preemption
 from wigeonreach.scheduling._ready import ReadyStep
-from wigeonreach.scheduling._suspects import Apart, Suspects
+from wigeonreach.scheduling._suspects import Isolation, Suspects
 from wigeonreach.scheduling._worker_capacity import WorkerCapacity
 from wigeonreach.scheduling.sharing import CapPlan
 
@@ -116,7 +116,7 @@
         Tasks with the fewest crashes come first, as most sound tasks are among
         them.
         """
-        if not self._suspects.may_wait:
+        if not self._suspects.may_isolate:
             return
         trials = [
             (crashes, step)
@@ -135,10 +135,10 @@
         return min(
             (
                 tasks[index].crash_count
-                for index in step.waiting
+                for index in step.waiting_tasks
                 if tasks[index].crashes
                 and self._isolation_of(step, _task_key(step, index))
-                is Apart.FROM_ALL
+                is Isolation.FROM_ALL
             ),
             default=0,
         )
@@ -149,7 +149,9 @@
         workers = self._pool_of(step)
         workers = self._locality.nearby_workers(step, workers)
         if step.job.queue.advice is not None:
-            workers = self._advice.allowed(step, workers, self._now_s)
+            workers = self._advice.workers_with_ticket(
+                step, workers, self._now_s
+            )
         if step.spec.is_rack_local:
             workers = self._locality.single_rack_workers(step, workers)
         return workers
@@ -169,7 +171,7 @@
             key = _task_key(step, index)
             isolation = self._isolation_of(step, key)
             worker = ranking.best(key, isolation)
-            if worker is None and isolation is Apart.FROM_NOTHING:
+            if worker is None and isolation is Isolation.FROM_NOTHING:
                 self._locality.add_queued(step, len(waiting) - placed)
                 return False
             if worker is None or _awaits_other_worker(
@@ -184,7 +186,7 @@
         """Return the tasks of a step that may start, given enough capacity."""
         waiting = [
             index
-            for index in step.waiting
+            for index in step.waiting_tasks
             if not self._must_wait(step, _task_key(step, index))
         ]
         allowed = self._caps.startable_count(step.job, step.spec, len(waiting))
@@ -224,17 +226,18 @@
     ) -> bool:
         # A gang starts as a whole; members that wait for others would occupy
         # capacity without working.
-        if len(step.waiting) < step.spec.count:
+        if len(step.waiting_tasks) < step.spec.count:
             return False
         if any(
-            self._must_wait(step, _task_key(step, at)) for at in step.waiting
+            self._must_wait(step, _task_key(step, at))
+            for at in step.waiting_tasks
         ):
             return True
         chosen = _fit_gang(step, workers)
         if chosen is None:
-            self._locality.add_queued(step, len(step.waiting))
+            self._locality.add_queued(step, len(step.waiting_tasks))
             return False
-        run = max(_next_run(step, index) for index in step.waiting)
+        run = max(_next_run(step, index) for index in step.waiting_tasks)
         for key, worker in chosen:
             self._start(step, key, worker, run)
         return True
@@ -259,12 +262,12 @@
         task = step.job.task(key)
         return task is not None and self._suspects.must_wait(key, task)
 
-    def _isolation_of(self, step: ReadyStep, key: TaskKey) -> Apart:
+    def _isolation_of(self, step: ReadyStep, key: TaskKey) -> Isolation:
         """Return a task's isolation; serving tasks are never held back."""
         task = step.job.task(key)
         if task is None or step.spec.is_service:
-            return Apart.FROM_NOTHING
-        return self._suspects.kept_apart(key, task)
+            return Isolation.FROM_NOTHING
+        return self._suspects.isolation_of(key, task)
 
     def _note_suspect(
         self,
@@ -339,7 +342,7 @@
     ]
     originals = dict(zip(map(id, copies), workers, strict=True))
     chosen: list[tuple[TaskKey, WorkerCapacity]] = []
-    for index in step.waiting:
+    for index in step.waiting_tasks:
         key = _task_key(step, index)
         task = step.job.task(key)
         crashes = task.crash_count if task else 0
--- a/src/wigeonreach/scheduling/_preempting.py
+++ b/src/wigeonreach/scheduling/_preemption.py
@@ -24,19 +24,19 @@
     ----------
     stops
         Batch runs to be stopped.
-    homeless
+    unmet_vms
         Number of VMs needed by the tasks that preemption can't help, by
         service and label.
     """
 
     stops: set[Run] = dataclasses.field(default_factory=set)
-    homeless: dict[str, dict[str, float]] = dataclasses.field(
+    unmet_vms: dict[str, dict[str, float]] = dataclasses.field(
         default_factory=dict,
     )
 
     def add_unmet(self, service: str, label: str, vms: float) -> None:
         """Add tasks that need a number of VMs."""
-        by_label = self.homeless.setdefault(service, {})
+        by_label = self.unmet_vms.setdefault(service, {})
         by_label[label] = by_label.get(label, 0) + vms
 
 
@@ -72,7 +72,7 @@
         found = victims_for(step, candidates.get(service, ()), store, stopped)
         if found is None:
             vms = vm_share(step.spec.resources, vm_resources) * len(
-                step.waiting
+                step.waiting_tasks
             )
             preemption.add_unmet(service, step.spec.label, vms)
             continue
--- a/src/wigeonreach/scheduling/_progress.py
+++ b/src/wigeonreach/scheduling/_progress.py
@@ -58,7 +58,7 @@
     heard_s: float
 
 
-class ProgressWatch:
+class ProgressTracker:
     """Tracks the progress of runs by their workers' heartbeats."""
 
     def __init__(self) -> None:
@@ -68,7 +68,7 @@
         self._last_progress_s: dict[Run, float] = {}
         self._speeds = WorkerSpeeds()
 
-    def note(
+    def on_heartbeat(
         self,
         incarnation: Incarnation,
         store: JobStore,
@@ -105,7 +105,7 @@
         self._speeds.note(incarnation.report.worker, samples, now_s)
         return stalled
 
-    def worked_s(self, run: Run, until_s: float) -> float:
+    def reported_for_s(self, run: Run, until_s: float) -> float:
         """Return how long a run has been reported in this term, 0 if never."""
         progress = self._progress_by_run.get(run)
         return until_s - progress.began_s if progress else 0.0
@@ -114,11 +114,11 @@
         """Return the slow workers of a service with their slowdown factors."""
         return self._speeds.slow(workers, now_s)
 
-    def laggards(
+    def stragglers(
         self,
         incarnation: Incarnation,
         store: JobStore,
-        slower_times: float,
+        slowdown_factor: float,
     ) -> list[Run]:
         """Return the runs of a slow worker that would end sooner elsewhere.
 
@@ -128,7 +128,7 @@
             The worker.
         store
             The replicated state.
-        slower_times
+        slowdown_factor
             Slowdown factor compared with the other workers.
         """
         return [
@@ -137,7 +137,7 @@
             if row.run == _FIRST_RUN
             and (spec := store.spec_of(row.task)) is not None
             and _reflects_worker_speed(spec, incarnation)
-            and _ends_sooner_elsewhere(row, spec, slower_times)
+            and _ends_sooner_elsewhere(row, spec, slowdown_factor)
         ]
 
     def _sample(
@@ -195,10 +195,10 @@
 
 
 def _ends_sooner_elsewhere(
-    row: RunningTask, spec: StepSpec, slower_times: float
+    row: RunningTask, spec: StepSpec, slowdown_factor: float
 ) -> bool:
     total_s = task_estimate_s(spec)
-    left_s = total_s * (1 - row.percent / _COMPLETE_PERCENT) * slower_times
+    left_s = total_s * (1 - row.percent / _COMPLETE_PERCENT) * slowdown_factor
     return left_s > _MIN_GAIN_RATIO * (total_s + _RESTART_S)
 
 
--- a/src/wigeonreach/scheduling/_quarantine.py
+++ b/src/wigeonreach/scheduling/_quarantine.py
@@ -35,7 +35,7 @@
         self._records: dict[str, _FailureRecord] = {}
 
     @property
-    def suspects(self) -> set[str]:
+    def failing_workers(self) -> set[str]:
         """Workers whose last runs failed or stalled."""
         return set(self._records)
 
--- a/src/wigeonreach/scheduling/_ready.py
+++ b/src/wigeonreach/scheduling/_ready.py
@@ -16,10 +16,10 @@
 from wigeonreach.jobs import JobRecord, JobStore, StepSpec, TaskPhase
 from wigeonreach.observe import LogEvent
 from wigeonreach.scheduling._backlog import StepWork
-from wigeonreach.scheduling._notes import Note
+from wigeonreach.scheduling._notes import LogNote
 from wigeonreach.scheduling._objectives import (
     critical_path_s,
-    objective_of,
+    objective_s,
     remaining_work_s,
     task_estimate_s,
     unfinished_tasks,
@@ -76,7 +76,7 @@
     job: JobRecord
     occurrence: int
     step: int
-    waiting: tuple[int, ...]
+    waiting_tasks: tuple[int, ...]
     due_ms: int
     latest_start_s: float
     work_s: float
@@ -107,9 +107,9 @@
         # When each step of a job became ready, by job id.
         self._ready_since_s: dict[str, _ReadySince] = {}
         self._reported_deferrals: set[OccurrenceId] = set()
-        self.notes: list[Note] = []
+        self.notes: list[LogNote] = []
 
-    def work(self, now_s: float) -> dict[str, list[StepWork]]:
+    def remaining_work(self, now_s: float) -> dict[str, list[StepWork]]:
         """Return each service's unfinished work, without later occurrences."""
         return {
             service: [
@@ -120,7 +120,7 @@
             for service in self._pending
         }
 
-    def serving(self) -> dict[str, int]:
+    def serving_workers(self) -> dict[str, int]:
         """Return how many workers the serving tasks of each service need."""
         needed: dict[str, int] = {}
         for service, workers in self._serving.values():
@@ -232,7 +232,7 @@
             pending for pending in unfinished if pending.steps
         )
 
-    def in_order(
+    def by_priority(
         self,
         now_s: float,
         wall_ms: float,
@@ -289,7 +289,9 @@
                     reason = _deferral_reason(
                         pending, available, len(startable), now_s
                     )
-                    note = Note(LogEvent.JOB_PUT_BACK, pending.job_id, reason)
+                    note = LogNote(
+                        LogEvent.JOB_PUT_BACK, pending.job_id, reason
+                    )
                     self.notes.append(note)
             self._reported_deferrals |= pool_deferred
             deferred |= pool_deferred
@@ -367,7 +369,7 @@
     return PendingOccurrence(
         job_id=job.spec.job_id,
         work_s=remaining_work_s(job, occurrence),
-        due_s=begin_s + objective_of(job),
+        due_s=begin_s + objective_s(job),
         critical_path_s=critical_path_s(job, occurrence),
         occurrence=occurrence,
         begin_s=begin_s,
@@ -434,7 +436,7 @@
                 job=job,
                 occurrence=occurrence,
                 step=number,
-                waiting=waiting,
+                waiting_tasks=waiting,
                 due_ms=job.spec.due_ms(occurrence),
                 latest_start_s=pending.due_s - pending.critical_path_s,
                 work_s=pending.work_s,
--- a/src/wigeonreach/scheduling/_scheduler.py
+++ b/src/wigeonreach/scheduling/_scheduler.py
@@ -18,21 +18,25 @@
     AvailableWorkers,
     CapacityByService,
 )
+from wigeonreach.scheduling._disruption_budget import DisruptionBudget
 from wigeonreach.scheduling._ends import RunEnds
-from wigeonreach.scheduling._incarnation import Heard, Incarnation, resources_of
+from wigeonreach.scheduling._incarnation import (
+    HeartbeatResult,
+    Incarnation,
+    resources_of,
+)
 from wigeonreach.scheduling._lost_runs import LostRuns
 from wigeonreach.scheduling._maintenance import Maintenance
-from wigeonreach.scheduling._moving_out import DisruptionBudget
-from wigeonreach.scheduling._notes import Note
+from wigeonreach.scheduling._notes import LogNote
 from wigeonreach.scheduling._pacing import Pacing
 from wigeonreach.scheduling._placing import Plan
-from wigeonreach.scheduling._progress import ProgressWatch
+from wigeonreach.scheduling._progress import ProgressTracker
 from wigeonreach.scheduling._ready import ReadyStep, ReadySteps
 from wigeonreach.scheduling._settings import SchedulingSettings
 from wigeonreach.scheduling._stops import RunStops
 from wigeonreach.scheduling._workers import Workers
 from wigeonreach.scheduling.pooling import Move, PoolPlanner
-from wigeonreach.scheduling.sharing import CapWatch
+from wigeonreach.scheduling.sharing import CapTracker
 from wigeonreach.wire._worker_messages import WorkerReport
 
 _DEFAULTS = SchedulingSettings()
@@ -75,9 +79,9 @@
         self.term = term
         self.workers = Workers(now_s)
         self.pacing = Pacing()
-        self.progress = ProgressWatch()
+        self.progress = ProgressTracker()
         self.advice = TicketCache()
-        self.notes: list[Note] = []
+        self.notes: list[LogNote] = []
         self.disruption_budget = DisruptionBudget(
             store,
             self.workers.incarnations,
@@ -88,7 +92,7 @@
             store,
             self.workers,
             self.disruption_budget,
-            settings.maintained_s,
+            settings.maintenance_s,
         )
         self.pools = PoolPlanner(store, self.workers, settings, now_s)
         self.stopping: set[Run] = set()
@@ -112,7 +116,7 @@
             self.notes,
         )
         self.ready = ReadySteps()
-        self.caps = CapWatch(store)
+        self.cap_tracker = CapTracker(store)
         self._lost_runs = LostRuns(store, self.workers, self.progress, now_s)
         self.crashes = self._lost_runs.crashes
         self._available = AvailableWorkers(
@@ -131,27 +135,29 @@
         store.changed.update(store.jobs)
         self.ready.refresh(store, now_s, wall_ms)
 
-    def hear(
+    def process_heartbeat(
         self,
         report: WorkerReport,
         now_s: float,
-    ) -> Heard | None:
+    ) -> HeartbeatResult | None:
         """Apply a heartbeat; return None if it is outdated or foreign."""
         if self.is_foreign(report):
             return None
         known = self.workers.incarnations.get(report.worker)
         before = known.report if known else None
-        incarnation = self.workers.hear(report, now_s)
+        incarnation = self.workers.process_heartbeat(report, now_s)
         if incarnation is None:
             return None
         if before is not None and before.sequence == report.sequence:
             # The repeat is already applied, but its ends may not be recorded.
-            return Heard(incarnation, tuple(self._ends.reported(incarnation)))
+            return HeartbeatResult(
+                incarnation, tuple(self._ends.reported(incarnation))
+            )
         self._available.forget(report.worker)
         self.crashes.note_heard(incarnation)
-        self.caps.strays.note_heard(incarnation)
+        self.cap_tracker.untracked_runs.on_heartbeat(incarnation)
         self._note_report_changes(incarnation, before, now_s)
-        paced = self.pacing.note(incarnation, self._store)
+        paced = self.pacing.on_heartbeat(incarnation, self._store)
         self._add_note(LogEvent.WORKER_PACED, incarnation, paced)
         ends = (
             *self._ends.reported(incarnation),
@@ -163,7 +169,7 @@
         stalled = self._stops.stop_stalled(incarnation, now_s)
         if report.is_draining:
             self._stop_serving_runs(incarnation, now_s)
-        return Heard(incarnation, ends, stalled)
+        return HeartbeatResult(incarnation, ends, stalled)
 
     def _note_report_changes(
         self,
@@ -199,17 +205,17 @@
         is_named = self._store.names_service(report.service)
         return not is_named and not self._store.held_by(report.worker)
 
-    def lost(self, now_s: float) -> tuple[RunEnded, ...]:
+    def take_lost_runs(self, now_s: float) -> tuple[RunEnded, ...]:
         """Return the runs of lost workers, which are to be reassigned."""
         ended = self.workers.ended(now_s)
         lost = self._lost_runs.of_ended_workers(ended, now_s)
         for worker, ending in ended.items():
-            note = Note(LogEvent.WORKER_ENDED, worker, ending.reason)
+            note = LogNote(LogEvent.WORKER_ENDED, worker, ending.reason)
             self.notes.append(note)
             self.pacing.forget(worker)
             self.quarantine.forget(worker)
             self._available.forget(worker)
-            self.caps.strays.forget(worker)
+            self.cap_tracker.untracked_runs.forget(worker)
             self.progress.forget(worker, self._store.held_by(worker))
         self._drop_ended_stops()
         for run_lost in lost:
@@ -218,10 +224,12 @@
         doubled = self._lost_runs.to_be_copied(now_s)
         for run_doubled in doubled:
             self.progress.forget_run((run_doubled.task, run_doubled.run))
-            self.caps.strays.note_copied(run_doubled.worker, run_doubled.task)
+            self.cap_tracker.untracked_runs.add(
+                run_doubled.worker, run_doubled.task
+            )
         return (*lost, *doubled)
 
-    def crashed(self, now_s: float) -> tuple[RunCrashed, ...]:
+    def crashes_to_record(self, now_s: float) -> tuple[RunCrashed, ...]:
         """Return the crashes to record; they repeat until they are recorded."""
         found = self.crashes.unrecorded(now_s)
         self.notes.extend(self.crashes.notes)
@@ -238,7 +246,7 @@
         workers = self.available_workers(now_s, needed)
         near = self.pools.data_locality(now_s)
         suspects = self.crashes.suspects(now_s)
-        cap_plan = self.caps.plan()
+        cap_plan = self.cap_tracker.begin_plan()
         plan = Plan(
             self._store,
             workers,
@@ -249,10 +257,10 @@
             now_s,
         )
         plan.place(steps)
-        self.notes.extend(self.caps.note_plan(cap_plan))
+        self.notes.extend(self.cap_tracker.note_plan(cap_plan))
         made = plan.preempt(self.stopping, self.pools.vms.vm_resources)
         self.stopping.update(made.stops)
-        self._unplaced_vms = made.homeless
+        self._unplaced_vms = made.unmet_vms
         for start in plan.starts:
             # It is not certain yet that the start will be recorded.
             self._available.forget(start.worker)
@@ -270,17 +278,17 @@
         for work in accepted:
             self.pools.note_accepted(work, now_s)
         self._stops.stop_stragglers(self.workers.incarnations, now_s)
-        steps = self.ready.in_order(
+        steps = self.ready.by_priority(
             now_s,
             wall_ms,
             self.workers.processors(now_s),
-            self.caps.processors(),
+            self.cap_tracker.processors(),
         )
         self.notes.extend(self.ready.notes)
         self.ready.notes.clear()
         return steps
 
-    def moves(
+    def plan_moves(
         self,
         now_s: float,
         held: Collection[str] = (),
@@ -295,9 +303,9 @@
             VMs that may not be ordered yet.
         """
         taken = self.maintenance.cordoned.union(held)
-        return self.pools.step(
-            self.caps.within(self.ready.work(now_s)),
-            self.ready.serving(),
+        return self.pools.plan_moves(
+            self.cap_tracker.limit_work(self.ready.remaining_work(now_s)),
+            self.ready.serving_workers(),
             self._unplaced_vms,
             taken,
             now_s,
@@ -328,7 +336,7 @@
         self, event: LogEvent, incarnation: Incarnation, reason: str
     ) -> None:
         if reason:
-            self.notes.append(Note(event, incarnation.report.worker, reason))
+            self.notes.append(LogNote(event, incarnation.report.worker, reason))
 
     def available_workers(
         self,
--- a/src/wigeonreach/scheduling/_settings.py
+++ b/src/wigeonreach/scheduling/_settings.py
@@ -16,17 +16,17 @@
         rebooted for that.
     far_factor
         How much longer a task takes away from its data, or across racks.
-    maintained_s
+    maintenance_s
         How long a VM is unavailable during its maintenance.
     stop_s
         How long a run may continue after its worker was told to stop it.
-    notice_s
+    unavailable_after_s
         How long a serving task may be down before it counts as unavailable,
         unless an order ended it.
     """
 
     move_s: float = 1.5
     far_factor: float = 1.0
-    maintained_s: float = 2.0
+    maintenance_s: float = 2.0
     stop_s: float = 0.4
-    notice_s: float = 4.5
+    unavailable_after_s: float = 4.5
--- a/src/wigeonreach/scheduling/_second_runs.py
+++ b/src/wigeonreach/scheduling/_speculation.py
@@ -15,11 +15,11 @@
 
 from wigeonreach.jobs import JobStore, Run, TaskKey
 from wigeonreach.scheduling._incarnation import Incarnation
-from wigeonreach.scheduling._progress import ProgressWatch
+from wigeonreach.scheduling._progress import ProgressTracker
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Laggards:
+class Stragglers:
     """Runs of a slow worker that would end sooner on another worker.
 
     Attributes
@@ -28,34 +28,34 @@
         The slow worker.
     runs
         The runs that would end sooner elsewhere.
-    slower_times
+    slowdown_factor
         Slowdown factor compared with the other workers.
     """
 
     worker: str
     runs: tuple[Run, ...]
-    slower_times: float
+    slowdown_factor: float
 
 
-def laggards(
+def stragglers(
     incarnations: Mapping[str, Incarnation],
-    progress: ProgressWatch,
+    progress: ProgressTracker,
     store: JobStore,
     now_s: float,
-) -> Iterator[Laggards]:
+) -> Iterator[Stragglers]:
     """Yield each slow worker with the runs to be restarted elsewhere."""
     by_service: dict[str, list[str]] = collections.defaultdict(list)
     for worker, known in incarnations.items():
         by_service[known.report.service].append(worker)
     for workers in by_service.values():
         slow = progress.slow(workers, now_s)
-        for slow_worker, slower_times in slow.items():
+        for slow_worker, slowdown_factor in slow.items():
             incarnation = incarnations[slow_worker]
-            runs = progress.laggards(incarnation, store, slower_times)
-            yield Laggards(slow_worker, tuple(runs), slower_times)
+            runs = progress.stragglers(incarnation, store, slowdown_factor)
+            yield Stragglers(slow_worker, tuple(runs), slowdown_factor)
 
 
-def copied(
+def runs_to_copy(
     incarnations: Mapping[str, Incarnation],
     store: JobStore,
     now_s: float,
--- a/src/wigeonreach/scheduling/_stops.py
+++ b/src/wigeonreach/scheduling/_stops.py
@@ -13,13 +13,13 @@
     TaskPhase,
 )
 from wigeonreach.observe import LogEvent
+from wigeonreach.scheduling._disruption_budget import DisruptionBudget
 from wigeonreach.scheduling._incarnation import Incarnation
-from wigeonreach.scheduling._moving_out import DisruptionBudget
-from wigeonreach.scheduling._notes import Note
+from wigeonreach.scheduling._notes import LogNote
 from wigeonreach.scheduling._pacing import Pacing
-from wigeonreach.scheduling._progress import ProgressWatch
+from wigeonreach.scheduling._progress import ProgressTracker
 from wigeonreach.scheduling._quarantine import WorkerQuarantine
-from wigeonreach.scheduling._second_runs import laggards
+from wigeonreach.scheduling._speculation import stragglers
 
 # Interval of the search for stragglers; busy workers send heartbeats as often.
 _STRAGGLER_CHECK_S = 0.25
@@ -51,10 +51,10 @@
         self,
         store: JobStore,
         pacing: Pacing,
-        progress: ProgressWatch,
+        progress: ProgressTracker,
         disruption_budget: DisruptionBudget,
         stopping: set[Run],
-        notes: list[Note],
+        notes: list[LogNote],
     ) -> None:
         """Start with an empty quarantine."""
         self._store = store
@@ -99,7 +99,7 @@
         """Stop a worker's runs without progress and count them as failures."""
         worker = incarnation.report.worker
         pace = self._pacing.pace(worker)
-        without_progress = self._progress.note(
+        without_progress = self._progress.on_heartbeat(
             incarnation, self._store, pace, now_s
         )
         stalled: list[Run] = []
@@ -125,20 +125,20 @@
         if now_s < self._next_check_s:
             return
         self._next_check_s = now_s + _STRAGGLER_CHECK_S
-        for straggler in laggards(
+        for straggler in stragglers(
             incarnations, self._progress, self._store, now_s
         ):
             runs = set(straggler.runs) - self._stopping
             if runs:
                 self._stopping.update(runs)
-                times = f'{straggler.slower_times:.1f} times as long'
+                times = f'{straggler.slowdown_factor:.1f} times as long'
                 why = f'{len(runs)} runs, {times}'
                 self._notes.append(
-                    Note(LogEvent.RUNS_MOVED, straggler.worker, why)
+                    LogNote(LogEvent.RUNS_MOVED, straggler.worker, why)
                 )
 
     def _count_failure(self, worker: str, job_id: str, now_s: float) -> None:
         if self.quarantine.note_failed(worker, job_id, now_s):
             reason = 'failed or held up runs of several jobs in a row'
-            note = Note(LogEvent.WORKER_QUARANTINED, worker, reason)
+            note = LogNote(LogEvent.WORKER_QUARANTINED, worker, reason)
             self._notes.append(note)
--- a/src/wigeonreach/scheduling/_suspects.py
+++ b/src/wigeonreach/scheduling/_suspects.py
@@ -14,7 +14,7 @@
 _MAX_UNSETTLED_CRASHES = 3
 # One of two crashes may be a coincidence.  After two a task runs alone, so
 # that a third one is conclusive and affects nothing else.
-CRASHES_BEFORE_TRIAL = 2
+CRASHES_BEFORE_ISOLATION = 2
 # How long it waits for a worker of its own: several times as long as most
 # tasks on such a worker take.  It then waits as long again for a worker
 # without other suspects.
@@ -22,7 +22,7 @@
 ISOLATION_S = 16.0
 
 
-class Apart(enum.Enum):
+class Isolation(enum.Enum):
     """The runs from which a task is isolated."""
 
     FROM_NOTHING = enum.auto()
@@ -52,19 +52,19 @@
     now_s: float
 
     @property
-    def may_wait(self) -> bool:
+    def may_isolate(self) -> bool:
         """Whether any task may have to be isolated now."""
         return bool(self.lost_s) or self.now_s - self.began_s < ISOLATION_S
 
-    def kept_apart(self, key: TaskKey, task: TaskRecord) -> Apart:
+    def isolation_of(self, key: TaskKey, task: TaskRecord) -> Isolation:
         """Return the isolation that a task needs now."""
         lost_for_s = self.now_s - self.lost_s.get(key, self.began_s)
-        is_suspect = task.crash_count >= CRASHES_BEFORE_TRIAL
+        is_suspect = task.crash_count >= CRASHES_BEFORE_ISOLATION
         if not is_suspect or lost_for_s >= ISOLATION_S:
-            return Apart.FROM_NOTHING
+            return Isolation.FROM_NOTHING
         if lost_for_s < _ALONE_S:
-            return Apart.FROM_ALL
-        return Apart.FROM_SUSPECTS
+            return Isolation.FROM_ALL
+        return Isolation.FROM_SUSPECTS
 
     def must_wait(self, key: TaskKey, task: TaskRecord) -> bool:
         """Whether a task must not start before its losses are explained."""
--- a/src/wigeonreach/scheduling/_vms.py
+++ b/src/wigeonreach/scheduling/_vms.py
@@ -6,10 +6,9 @@
 import enum
 from typing import Protocol
 
-
 # Time from the record of an order until its outcome is decided: the leader is
 # confirmed first, and the call to the platform times out after 2 s.
-ORDER_LASTS_S = 3.0
+ORDER_TIMEOUT_S = 3.0
 
 
 class VmPhase(enum.StrEnum):
--- a/src/wigeonreach/scheduling/_worker_capacity.py
+++ b/src/wigeonreach/scheduling/_worker_capacity.py
@@ -7,10 +7,10 @@
 
 from wigeonreach._resources import Resources
 from wigeonreach.jobs import JobStore, StepSpec, TaskKey
-from wigeonreach.scheduling._evidence import SOUND_S
+from wigeonreach.scheduling._evidence import CLEARED_AFTER_S
 from wigeonreach.scheduling._incarnation import Incarnation
-from wigeonreach.scheduling._progress import ProgressWatch
-from wigeonreach.scheduling._suspects import CRASHES_BEFORE_TRIAL, Apart
+from wigeonreach.scheduling._progress import ProgressTracker
+from wigeonreach.scheduling._suspects import CRASHES_BEFORE_ISOLATION, Isolation
 
 
 @dataclasses.dataclass(slots=True)
@@ -42,7 +42,7 @@
         Job of a task that has to run alone, as two of its workers crashed.
     is_closed
         Tasks of other jobs may not be placed beside that task.
-    has_crashed_lately
+    has_crashed_recently
         An earlier worker of its VM crashed a short time ago.
     """
 
@@ -57,7 +57,7 @@
     suspects: set[str] = dataclasses.field(default_factory=set)
     trial_job: str = ''
     is_closed: bool = False
-    has_crashed_lately: bool = False
+    has_crashed_recently: bool = False
 
     @property
     def name(self) -> str:
@@ -89,18 +89,18 @@
         """Record that a task on the worker may crash it."""
         if crashes:
             self.suspects.add(job_id)
-        if crashes >= CRASHES_BEFORE_TRIAL:
+        if crashes >= CRASHES_BEFORE_ISOLATION:
             self.trial_job = job_id
 
     def runs_other_jobs(self, job_id: str) -> bool:
         """Whether tasks of other jobs are on the worker."""
         return any(step_key[0] != job_id for step_key in self.steps)
 
-    def isolates(self, job_id: str, isolation: Apart) -> bool:
+    def isolates(self, job_id: str, isolation: Isolation) -> bool:
         """Whether the worker gives a job's task the isolation it needs."""
-        if isolation is Apart.FROM_SUSPECTS:
+        if isolation is Isolation.FROM_SUSPECTS:
             return self.suspects <= {job_id}
-        if isolation is Apart.FROM_ALL:
+        if isolation is Isolation.FROM_ALL:
             is_own_trial = self.is_closed and self.trial_job == job_id
             return is_own_trial and not self.runs_other_jobs(job_id)
         return True
@@ -138,7 +138,7 @@
 def worker_capacity(
     incarnation: Incarnation,
     store: JobStore,
-    progress: ProgressWatch,
+    progress: ProgressTracker,
 ) -> WorkerCapacity:
     """Return a worker's free capacity beside everything it may run."""
     worker = incarnation.report.worker
@@ -151,7 +151,10 @@
         task = store.task_of(key)
         if task is None or not task.crash_count:
             continue
-        if progress.worked_s((key, run), incarnation.heard_s) < SOUND_S:
+        if (
+            progress.reported_for_s((key, run), incarnation.heard_s)
+            < CLEARED_AFTER_S
+        ):
             capacity.add_suspect(key.job_id, task.crash_count)
     for row in incarnation.running:
         # A run that is being stopped uses capacity until its end is reported.
--- a/src/wigeonreach/scheduling/_workers.py
+++ b/src/wigeonreach/scheduling/_workers.py
@@ -6,7 +6,7 @@
 from collections.abc import Collection
 
 from wigeonreach.scheduling._incarnation import (
-    LEASE_OVER_S,
+    LEASE_EXPIRED_S,
     EndedIncarnation,
     Incarnation,
     resources_of,
@@ -53,7 +53,9 @@
         # Heap of the times at which leases may expire, with their workers.
         self._leases: list[tuple[float, str]] = []
 
-    def hear(self, report: WorkerReport, now_s: float) -> Incarnation | None:
+    def process_heartbeat(
+        self, report: WorkerReport, now_s: float
+    ) -> Incarnation | None:
         """Apply a heartbeat.
 
         Returns
@@ -64,7 +66,7 @@
             changes nothing: the process that forwarded it lost the answer, for
             which the worker still waits.
         """
-        if self.is_gone(report.worker):
+        if self.has_ended(report.worker):
             return self._readmit(report, now_s)
         known = self.incarnations.get(report.worker)
         if known is None:
@@ -84,7 +86,7 @@
         known.update(report, now_s)
         return known
 
-    def leave(self, worker: str, now_s: float) -> None:
+    def mark_leaving(self, worker: str, now_s: float) -> None:
         """Record that a worker announced its end.
 
         Parameters
@@ -150,25 +152,25 @@
         """Whether an untracked worker has certainly no runs any more."""
         if worker in self.incarnations:
             return False
-        return self.is_gone(worker) or self.has_heard_all(now_s)
+        return self.has_ended(worker) or self.has_heard_all(now_s)
 
-    def is_gone(self, worker: str) -> bool:
+    def has_ended(self, worker: str) -> bool:
         """Whether an incarnation was given up or announced its end."""
         return worker in self._gone_s
 
     def was_heard(self, worker: str) -> bool:
         """Whether a worker was heard, or ended, in this term."""
-        return worker in self.incarnations or self.is_gone(worker)
+        return worker in self.incarnations or self.has_ended(worker)
 
     def has_heard_all(self, now_s: float) -> bool:
         """Whether every worker that may have runs was heard in this term."""
-        return now_s >= self._began_s + LEASE_OVER_S
+        return now_s >= self._began_s + LEASE_EXPIRED_S
 
     def processors(self, now_s: float) -> dict[str, float]:
         """Return the processors of workers that accept work, by service."""
         total: dict[str, float] = {}
         for incarnation in self.incarnations.values():
-            if incarnation.may_take(now_s):
+            if incarnation.accepts_work(now_s):
                 service = incarnation.report.service
                 has = total.get(service, 0)
                 total[service] = has + incarnation.resources.processors
--- a/src/wigeonreach/scheduling/pooling/_pools.py
+++ b/src/wigeonreach/scheduling/pooling/_pools.py
@@ -21,9 +21,9 @@
     StepWork,
     backlog_by_service,
 )
+from wigeonreach.scheduling._disruption_budget import is_empty
 from wigeonreach.scheduling._incarnation import Incarnation
 from wigeonreach.scheduling._locality import DataLocality
-from wigeonreach.scheduling._moving_out import is_empty
 from wigeonreach.scheduling._ready import AcceptedWork
 from wigeonreach.scheduling._settings import SchedulingSettings
 from wigeonreach.scheduling._vms import VmRecord
@@ -153,7 +153,7 @@
         self._pending_moves.pop(move.vm, None)
         self.vms.note_failed(move)
 
-    def step(
+    def plan_moves(
         self,
         work: Mapping[str, Iterable[StepWork]],
         serving: Mapping[str, int],
@@ -222,7 +222,7 @@
         for incarnation in self._workers.incarnations.values():
             vm = incarnation.report.vm
             is_free = vm not in excluded_vms and vm not in self._pending_moves
-            if is_free and incarnation.may_take(now_s):
+            if is_free and incarnation.accepts_work(now_s):
                 by_service[incarnation.report.service].append(incarnation)
         return by_service
 
--- a/src/wigeonreach/scheduling/sharing/__init__.py
+++ b/src/wigeonreach/scheduling/sharing/__init__.py
@@ -1,6 +1,6 @@
 """Share the workers between workspaces, each within its cap."""
 
 from wigeonreach.scheduling.sharing._cap_plan import CapPlan
-from wigeonreach.scheduling.sharing._cap_watch import CapWatch
+from wigeonreach.scheduling.sharing._cap_watch import CapTracker
 
-__all__ = ('CapPlan', 'CapWatch')
+__all__ = ('CapPlan', 'CapTracker')
--- a/src/wigeonreach/scheduling/sharing/_cap_watch.py
+++ b/src/wigeonreach/scheduling/sharing/_cap_watch.py
@@ -8,14 +8,14 @@
 from wigeonreach.jobs._model import MILLICORES
 from wigeonreach.observe import LogEvent
 from wigeonreach.scheduling._backlog import StepWork
-from wigeonreach.scheduling._notes import Note
+from wigeonreach.scheduling._notes import LogNote
 from wigeonreach.scheduling.pooling import WORK_HORIZON_S
 from wigeonreach.scheduling.sharing._cap_plan import CapPlan
 from wigeonreach.scheduling.sharing._capped_work import within_caps
 from wigeonreach.scheduling.sharing._untracked_runs import UntrackedRuns
 
 
-class CapWatch:
+class CapTracker:
     """The caps of workspaces, for the leader of one term.
 
     Parameters
@@ -25,14 +25,14 @@
 
     Attributes
     ----------
-    strays
+    untracked_runs
         Runs that the replicated state no longer counts.
     """
 
     def __init__(self, store: JobStore) -> None:
         """Start without waiting jobs."""
         self._store = store
-        self.strays = UntrackedRuns(store)
+        self.untracked_runs = UntrackedRuns(store)
         self._waiting: set[str] = set()
 
     def processors(self) -> dict[str, float]:
@@ -43,18 +43,18 @@
             if spec.cap.millicores
         }
 
-    def within(
+    def limit_work(
         self,
         work: Mapping[str, Iterable[StepWork]],
     ) -> dict[str, list[StepWork]]:
         """Return the work of each service, reduced to what the caps allow."""
         return within_caps(work, self._store, WORK_HORIZON_S)
 
-    def plan(self) -> CapPlan:
+    def begin_plan(self) -> CapPlan:
         """Return the cap usage for a new plan."""
-        return CapPlan(self._store, self.strays)
+        return CapPlan(self._store, self.untracked_runs)
 
-    def note_plan(self, plan: CapPlan) -> list[Note]:
+    def note_plan(self, plan: CapPlan) -> list[LogNote]:
         """Return notes on the jobs that newly wait for their cap."""
         new = plan.capped_jobs.keys() - self._waiting
         self._waiting = set(plan.capped_jobs)
@@ -63,7 +63,7 @@
             for job_id in sorted(new)
         ]
 
-    def _note(self, job_id: str, workspace: str) -> Note:
+    def _note(self, job_id: str, workspace: str) -> LogNote:
         used = self._store.use.used(workspace)
         reason = f'workspace {workspace} is at its cap, in use: {used}'
-        return Note(LogEvent.JOB_CAPPED, job_id, reason)
+        return LogNote(LogEvent.JOB_CAPPED, job_id, reason)
--- a/src/wigeonreach/scheduling/sharing/_untracked_runs.py
+++ b/src/wigeonreach/scheduling/sharing/_untracked_runs.py
@@ -34,16 +34,16 @@
         """Return the usage of a workspace's untracked runs."""
         return self._book.used(workspace)
 
-    def note_heard(self, incarnation: Incarnation) -> None:
+    def on_heartbeat(self, incarnation: Incarnation) -> None:
         """Recount a worker's reported runs that no record assigns to it."""
         worker = incarnation.report.worker
         self.forget(worker)
         held = self._store.held_by(worker)
         for row in incarnation.running:
             if row.task not in held:
-                self.note_copied(worker, row.task)
+                self.add(worker, row.task)
 
-    def note_copied(self, worker: str, key: TaskKey) -> None:
+    def add(self, worker: str, key: TaskKey) -> None:
         """Count a run that may go on beside the next run of its task."""
         job = self._store.job_of(key)
         spec = self._store.spec_of(key)
--- a/tests/builders_core.py
+++ b/tests/builders_core.py
@@ -16,7 +16,7 @@
 from wigeonreach.gateway import Gateway
 from wigeonreach.observe import Logger, Metrics
 from wigeonreach.scheduling import SchedulingSettings
-from wigeonreach.scheduling._advice import Advice, Question
+from wigeonreach.scheduling._advice import Advice, AdviceRequest
 from wigeonreach.scheduling._vms import OrderResult, VmRecord
 from wigeonreach.wire import parse_address
 from wigeonreach.wire._call_messages import AnyCall, PutManifest
@@ -51,9 +51,9 @@
         self.orders.append((vm, pool, fence))
         return OrderResult.DONE
 
-    async def advise(self, question: Question) -> Advice | None:
+    async def advise(self, request: AdviceRequest) -> Advice | None:
         """Allow every worker."""
-        return Advice({worker: 'paper' for worker in question.workers}, 3)
+        return Advice({worker: 'paper' for worker in request.workers}, 3)
 
 
 def free_addresses(count: int) -> list[str]:
--- a/tests/builders_days.py
+++ b/tests/builders_days.py
@@ -151,7 +151,7 @@
             machine.work[run] = left - 1
             self._progress(machine, run, left)
         if machine.late is not None and self.happens(30):
-            self.lead.scheduler.hear(machine.late, self.now_s)
+            self.lead.scheduler.process_heartbeat(machine.late, self.now_s)
             machine.late = None
         if self.now_s >= machine.cut_until_s:
             self._send(machine)
--- a/tests/core/test_clock.py
+++ b/tests/core/test_clock.py
@@ -93,7 +93,7 @@
             lead.hear(lead.workers['w0'])
             lead.scheduler.plan(lead.now_s, wall_ms)
             self.assertThat(
-                lead.scheduler.lost(lead.now_s), matchers.Equals(())
+                lead.scheduler.take_lost_runs(lead.now_s), matchers.Equals(())
             )
 
     def test_timed_job_starts_at_its_due_time(self) -> None:
--- a/tests/lab/test_day.py
+++ b/tests/lab/test_day.py
@@ -94,7 +94,7 @@
     def test_too_early_lease_expiry_is_detected(self) -> None:
         """Runs are reassigned while their worker still holds its lease."""
         for module in (_incarnation, _workers):
-            patch = mock.patch.object(module, 'LEASE_OVER_S', 1.0)
+            patch = mock.patch.object(module, 'LEASE_EXPIRED_S', 1.0)
             patch.start()
             self.addCleanup(patch.stop)
         self.assertRaises(BrokenRuleError, self._simulate_all)
--- a/tests/platform/test_decoding.py
+++ b/tests/platform/test_decoding.py
@@ -342,7 +342,9 @@
         self.assertThat(core.voter_target, matchers.Equals(5))
         self.assertThat(core.order_pause_s, matchers.Equals(3))
         self.assertThat(core.scheduling.stop_s, matchers.Equals(0.9))
-        self.assertThat(core.scheduling.notice_s, matchers.Equals(6.5))
+        self.assertThat(
+            core.scheduling.unavailable_after_s, matchers.Equals(6.5)
+        )
 
     def test_invalid_files_are_refused(self) -> None:
         """A file is missing, truncated or has values of wrong types."""
--- a/tests/scheduling/pooling/test_pool_labels.py
+++ b/tests/scheduling/pooling/test_pool_labels.py
@@ -67,7 +67,7 @@
         return lead
 
     def _moves(self, lead: FakeLead) -> list[Move]:
-        return lead.scheduler.moves(lead.now_s)
+        return lead.scheduler.plan_moves(lead.now_s)
 
     def test_vm_with_missing_label_is_moved_in(self) -> None:
         """Without it the job would never start."""
@@ -142,13 +142,13 @@
 
     def test_later_occurrences_need_no_vm_yet(self) -> None:
         """Only the first is due: 40 tasks of 2 s on 2 x 16 processors."""
-        moves = self._lead(1).scheduler.moves(0.1)
+        moves = self._lead(1).scheduler.plan_moves(0.1)
         self.assertThat(moves, matchers.HasLength(0))
 
     def test_objective_starts_at_the_due_time(self) -> None:
         """A job accepted long before it is due is not late."""
         lead = self._lead(50_000)
         lead.now_s = 50.1
-        found = lead.scheduler.ready.in_order(50.1, 50_100, {SERVICE: 32.0})
+        found = lead.scheduler.ready.by_priority(50.1, 50_100, {SERVICE: 32.0})
         self.assertThat(found, matchers.HasLength(1))
         self.assertThat(found[0].latest_start_s, matchers.GreaterThan(50.1))
--- a/tests/scheduling/pooling/test_pools.py
+++ b/tests/scheduling/pooling/test_pools.py
@@ -60,7 +60,7 @@
         lead = FakeLead(_with_standby(store_with(*peak)), workers(4))
         lead.scheduler.pools.note_vms(_standby_vms('off1', 'off2'))
         lead.round()
-        moves = lead.scheduler.moves(lead.now_s)
+        moves = lead.scheduler.plan_moves(lead.now_s)
         self.assertThat(
             moves,
             matchers.Equals(
@@ -82,7 +82,7 @@
         lead.workers.clear()
         lead.now_s += 60
         lead.round()
-        moves = lead.scheduler.moves(lead.now_s)
+        moves = lead.scheduler.plan_moves(lead.now_s)
         self.assertThat(
             [move.to_pool for move in moves],
             matchers.Equals([SERVICE, SERVICE, SERVICE]),
@@ -102,7 +102,7 @@
         moves: list[Move] = []
         for _ in range(5):
             lead.round()
-            found = lead.scheduler.moves(lead.now_s)
+            found = lead.scheduler.plan_moves(lead.now_s)
             for move in found:
                 lead.scheduler.pools.note_moved(move, lead.now_s)
             moves.extend(found)
@@ -126,7 +126,7 @@
             (*unreachable, *_standby_vms('off1', 'off2'))
         )
         lead.round()
-        moves = lead.scheduler.moves(lead.now_s)
+        moves = lead.scheduler.plan_moves(lead.now_s)
         self.assertThat(
             [move.vm for move in moves],
             matchers.Equals(['off1', 'off2', 'behind0']),
@@ -146,7 +146,7 @@
         commit(store, AddJob(job(peak, job_id=OTHER_JOB), _OTHER))
         lead = FakeLead(store, workers(6))
         lead.round()
-        moves = lead.scheduler.moves(lead.now_s)
+        moves = lead.scheduler.plan_moves(lead.now_s)
         self.assertThat(
             [move.to_pool for move in moves],
             matchers.Equals([_OTHER, _OTHER, _OTHER]),
@@ -159,7 +159,7 @@
         moves: list[Move] = []
         for _ in range(100):
             lead.round()
-            moves = lead.scheduler.moves(lead.now_s) or moves
+            moves = lead.scheduler.plan_moves(lead.now_s) or moves
         self.assertThat(
             {move.to_pool for move in moves}, matchers.Equals({_STANDBY})
         )
@@ -172,7 +172,7 @@
         for _ in range(100):
             lead.round()
             self.assertThat(
-                lead.scheduler.moves(lead.now_s),
+                lead.scheduler.plan_moves(lead.now_s),
                 matchers.HasLength(0),
             )
 
@@ -183,11 +183,11 @@
         pools = lead.scheduler.pools
         pools.note_moved(Move('vm0', SERVICE, _STANDBY), lead.now_s)
         self.assertThat(
-            lead.scheduler.moves(lead.now_s + 1.0),
+            lead.scheduler.plan_moves(lead.now_s + 1.0),
             matchers.HasLength(0),
         )
         self.assertThat(
-            lead.scheduler.moves(lead.now_s + 2.0),
+            lead.scheduler.plan_moves(lead.now_s + 2.0),
             matchers.Equals([Move('vm0', _STANDBY, SERVICE)]),
         )
 
@@ -202,7 +202,7 @@
         moved: set[str] = set()
         for _ in range(30):
             lead.round()
-            moves = lead.scheduler.moves(lead.now_s)
+            moves = lead.scheduler.plan_moves(lead.now_s)
             moved.update(move.vm for move in moves)
         self.assertThat(moved & taken, matchers.HasLength(0))
 
@@ -212,6 +212,6 @@
         for _ in range(30):
             lead.round()
             self.assertThat(
-                lead.scheduler.moves(lead.now_s),
+                lead.scheduler.plan_moves(lead.now_s),
                 matchers.HasLength(0),
             )
--- a/tests/scheduling/sharing/test_caps.py
+++ b/tests/scheduling/sharing/test_caps.py
@@ -23,13 +23,13 @@
 from wigeonreach.jobs import JobStore, Manifest, RunEnd, SetManifest
 from wigeonreach.jobs._model import StepSpec
 from wigeonreach.lab import commit
-from wigeonreach.scheduling._incarnation import LEASE_OVER_S
+from wigeonreach.scheduling._incarnation import LEASE_EXPIRED_S
 from wigeonreach.standins import StandInWorker
 from wigeonreach.workspaces import NO_AMOUNTS, Amounts, fits_cap
 
 _MINE = 1
 _OTHERS = 2
-_LEASE_ROUNDS = int(LEASE_OVER_S * 10) + 2
+_LEASE_ROUNDS = int(LEASE_EXPIRED_S * 10) + 2
 
 
 def _store(cap: Amounts) -> JobStore:
@@ -224,10 +224,10 @@
             add(store, numbered_job(_MINE, step(100, estimate_ms=4_000)))
             lead = FakeLead(store, workers(1))
             lead.round()
-            work = lead.scheduler.caps.within(
-                lead.scheduler.ready.work(lead.now_s),
+            work = lead.scheduler.cap_tracker.limit_work(
+                lead.scheduler.ready.remaining_work(lead.now_s),
             )
-            lead.scheduler.moves(lead.now_s)
+            lead.scheduler.plan_moves(lead.now_s)
             vm_s = sum(
                 owed.vm_s(lead.scheduler.pools.vms.vm_resources)
                 for steps in work.values()
--- a/tests/scheduling/test_advice.py
+++ b/tests/scheduling/test_advice.py
@@ -43,18 +43,18 @@
         lead = _lead(1)
         lead.round()
         self.assertThat(lead.store.assigned, matchers.HasLength(0))
-        questions = lead.scheduler.advice.questions()
-        self.assertThat(questions, matchers.HasLength(1))
-        self.assertThat(questions[0].workers, matchers.HasLength(2))
+        requests = lead.scheduler.advice.pop_requests()
+        self.assertThat(requests, matchers.HasLength(1))
+        self.assertThat(requests[0].workers, matchers.HasLength(2))
 
     def test_task_starts_on_an_allowed_worker_with_its_ticket(self) -> None:
         """The order includes the ticket."""
         lead = _lead(1)
         lead.round()
-        question = lead.scheduler.advice.questions()[0]
-        worker = question.workers[-1]
+        request = lead.scheduler.advice.pop_requests()[0]
+        worker = request.workers[-1]
         advice = Advice({worker: 'paper'}, valid_s=3)
-        lead.scheduler.advice.note(question, advice, lead.now_s)
+        lead.scheduler.advice.record_advice(request, advice, lead.now_s)
         lead.hear(lead.workers[worker])
         lead.plan()
         incarnation = lead.scheduler.workers.incarnations[worker]
@@ -68,9 +68,9 @@
         """A ticket that would expire before the order arrives is not used."""
         lead = _lead(1)
         lead.round()
-        question = lead.scheduler.advice.questions()[0]
-        advice = Advice({question.workers[0]: 'paper'}, valid_s=3)
-        lead.scheduler.advice.note(question, advice, lead.now_s)
+        request = lead.scheduler.advice.pop_requests()[0]
+        advice = Advice({request.workers[0]: 'paper'}, valid_s=3)
+        lead.scheduler.advice.record_advice(request, advice, lead.now_s)
         for worker in lead.workers.values():
             worker.cpu_millicores = 0
         lead.round()
@@ -79,7 +79,7 @@
         lead.round(2.6)
         self.assertThat(lead.store.assigned, matchers.HasLength(0))
         self.assertThat(
-            lead.scheduler.advice.questions(),
+            lead.scheduler.advice.pop_requests(),
             matchers.HasLength(1),
         )
 
@@ -87,9 +87,9 @@
         """The advisor is slow, so no request is sent twice."""
         lead = _lead(1)
         lead.round()
-        lead.scheduler.advice.questions()
+        lead.scheduler.advice.pop_requests()
         lead.round()
         self.assertThat(
-            lead.scheduler.advice.questions(),
+            lead.scheduler.advice.pop_requests(),
             matchers.HasLength(0),
         )
--- a/tests/scheduling/test_choosing.py
+++ b/tests/scheduling/test_choosing.py
@@ -24,7 +24,7 @@
 from wigeonreach.scheduling._choosing import WorkerRanking, best_worker
 from wigeonreach.scheduling._incarnation import Incarnation, resources_of
 from wigeonreach.scheduling._placing import Plan
-from wigeonreach.scheduling._progress import ProgressWatch
+from wigeonreach.scheduling._progress import ProgressTracker
 from wigeonreach.scheduling._ready import ReadyStep, ReadySteps
 from wigeonreach.scheduling._suspects import Suspects
 from wigeonreach.scheduling._worker_capacity import (
@@ -45,7 +45,7 @@
         worker.rack = rng.choice(_RACKS)
         report = worker.report()
         incarnation = Incarnation(report, 0, 0, resources_of(report))
-        capacity = worker_capacity(incarnation, store, ProgressWatch())
+        capacity = worker_capacity(incarnation, store, ProgressTracker())
         capacity.is_slow = not rng.randrange(5)
         capacity.serving = rng.randint(0, 1)
         capacity.has_target = bool(capacity.serving)
@@ -65,7 +65,7 @@
 def _ready(store: JobStore) -> ReadyStep:
     ready = ReadySteps()
     ready.refresh(store, 0, 0)
-    return ready.in_order(0, 0, {})[0]
+    return ready.by_priority(0, 0, {})[0]
 
 
 class TestRanking(testtools.TestCase):
@@ -82,7 +82,7 @@
             rng.setstate(state)
             compared = _capacities(rng, store)
             ranking = WorkerRanking(ready, ranked)
-            for index in ready.waiting:
+            for index in ready.waiting_tasks:
                 found = _place(ranking.best(key(index)), ready, index)
                 chosen = best_worker(ready, key(index), compared)
                 expected = _place(chosen, ready, index)
--- a/tests/scheduling/test_foreign.py
+++ b/tests/scheduling/test_foreign.py
@@ -56,7 +56,7 @@
         ended = EndedRun(7, *run, RunEnd.FAILED)
         forged = msgspec.structs.replace(sent, ended=(ended,))
         self.lead.take(sent)
-        heard = self.lead.scheduler.hear(forged, self.lead.now_s)
+        heard = self.lead.scheduler.process_heartbeat(forged, self.lead.now_s)
         assert heard is not None
         self.assertThat(heard.ends, matchers.Equals(()))
         self.assertThat(heard.incarnation.report, matchers.Equals(sent))
@@ -69,7 +69,7 @@
         worker.service = 'dropped'
         later = Scheduler(self.lead.store, self.lead.term, self.lead.now_s)
         self.assertThat(
-            later.hear(worker.report(), self.lead.now_s),
+            later.process_heartbeat(worker.report(), self.lead.now_s),
             matchers.Not(matchers.Is(None)),
         )
 
--- a/tests/scheduling/test_maintenance.py
+++ b/tests/scheduling/test_maintenance.py
@@ -15,7 +15,7 @@
 )
 from wigeonreach.jobs import StartWave, VmStep
 from wigeonreach.lab import commit
-from wigeonreach.scheduling._incarnation import LEASE_OVER_S
+from wigeonreach.scheduling._incarnation import LEASE_EXPIRED_S
 from wigeonreach.scheduling._vms import VmPhase, VmRecord
 from wigeonreach.standins import StandInWorker
 
@@ -147,7 +147,7 @@
         lead = FakeLead(store_with(), workers(1))
         maintenance = lead.scheduler.maintenance
         lead.start_wave(('gone1',), limit=1)
-        lead.now_s = LEASE_OVER_S + 1
+        lead.now_s = LEASE_EXPIRED_S + 1
         found = maintenance.step(set(), lead.now_s)
         self.assertThat(found.orders, matchers.HasLength(0))
         maintenance.note_vms((_record('off1', VmPhase.UP),), lead.now_s)
@@ -162,7 +162,7 @@
         maintenance = lead.scheduler.maintenance
         lead.start_wave(('vm0',), limit=1)
         maintenance.note_vms((_record('off1', VmPhase.UP),), 0.5)
-        found = maintenance.step(set(), LEASE_OVER_S - 0.5)
+        found = maintenance.step(set(), LEASE_EXPIRED_S - 0.5)
         self.assertThat(found.orders, matchers.HasLength(0))
 
     def test_vm_that_is_down_is_not_ordered_again(self) -> None:
--- a/tests/scheduling/test_moving_out.py
+++ b/tests/scheduling/test_moving_out.py
@@ -25,14 +25,14 @@
 from wigeonreach.jobs import AddJob, RecordVmOrders, RunEnd, VmStep
 from wigeonreach.lab import commit
 from wigeonreach.scheduling import SchedulingSettings
+from wigeonreach.scheduling._disruption_budget import is_empty
 from wigeonreach.scheduling._maintenance import MaintenanceStep
-from wigeonreach.scheduling._moving_out import is_empty
 
 # Longer than a worker may be silent and get new work; shorter than its lease.
 _SILENT_S = 1.5
 _DEFAULTS = SchedulingSettings()
 _SLOW_STOPS = SchedulingSettings(stop_s=0.9)
-_SHORT_NOTICE = SchedulingSettings(notice_s=1.8)
+_SHORT_NOTICE = SchedulingSettings(unavailable_after_s=1.8)
 
 
 def _serving_lead(
--- a/tests/scheduling/test_progress.py
+++ b/tests/scheduling/test_progress.py
@@ -106,7 +106,7 @@
             self.lead.round(0.25)
         self.assertThat(self.first[1].running, matchers.HasLength(0))
         scores = self.lead.scheduler.quarantine
-        self.assertThat(scores.suspects, matchers.Equals({'w1'}))
+        self.assertThat(scores.failing_workers, matchers.Equals({'w1'}))
 
 
 class TestHealth(testtools.TestCase):
--- a/tests/scheduling/test_random_days.py
+++ b/tests/scheduling/test_random_days.py
@@ -40,7 +40,7 @@
     def test_lease_counted_too_short_is_detected(self) -> None:
         """Tasks are reassigned while their worker still runs them."""
         for module in (_incarnation, _workers):
-            patch = mock.patch.object(module, 'LEASE_OVER_S', 2.5)
+            patch = mock.patch.object(module, 'LEASE_EXPIRED_S', 2.5)
             patch.start()
             self.addCleanup(patch.stop)
         self.assertRaises(BrokenRuleError, self._play_all)
--- a/tests/scheduling/test_random_moving.py
+++ b/tests/scheduling/test_random_moving.py
@@ -36,7 +36,7 @@
     VmStep,
 )
 from wigeonreach.lab import BrokenRuleError, commit
-from wigeonreach.scheduling import _moving_out
+from wigeonreach.scheduling import _disruption_budget
 from wigeonreach.standins import StandInWorker
 from wigeonreach.wire._worker_messages import WorkerOrders
 
@@ -214,7 +214,7 @@
 
     def _decide(self) -> None:
         lead = self.lead
-        lost = lead.scheduler.lost(lead.now_s)
+        lost = lead.scheduler.take_lost_runs(lead.now_s)
         commit(self.store, RecordRuns(lead.term, ends=lost))
         # Orders for VMs are decided while starts are not recorded yet.
         found = lead.scheduler.maintenance.step(
@@ -324,7 +324,7 @@
     def test_stops_that_are_forgotten_are_found(self) -> None:
         """Every run counts as serving, even while it is being stopped."""
         forgetful = mock.patch.object(
-            _moving_out,
+            _disruption_budget,
             '_is_listed_serving',
             lambda incarnation, run: True,
         )
--- a/tests/scheduling/test_restarts.py
+++ b/tests/scheduling/test_restarts.py
@@ -40,7 +40,7 @@
 )
 from wigeonreach.lab import commit
 from wigeonreach.scheduling._advice import Advice
-from wigeonreach.scheduling._incarnation import LEASE_OVER_S
+from wigeonreach.scheduling._incarnation import LEASE_EXPIRED_S
 from wigeonreach.scheduling._vms import VmPhase, VmRecord
 from wigeonreach.standins import StandInWorker
 from wigeonreach.wire._worker_messages import EndedRun, WorkerOrders
@@ -194,7 +194,7 @@
         fleet.lead.round()
         worker.restart(_LATER_MS)
         fleet.change_leader()
-        fleet.run(int(LEASE_OVER_S * 10) + 5)
+        fleet.run(int(LEASE_EXPIRED_S * 10) + 5)
         self.assertThat(fleet.phase(), _COMPLETED)
         self.assertThat(set(fleet.begun.values()), matchers.Equals({1}))
 
@@ -252,7 +252,7 @@
         """The message has only the id, and no incarnation of it drains."""
         self.fleet.run(_PROVEN_ROUNDS)
         lead = self.fleet.lead
-        lead.scheduler.workers.leave('i-0', lead.now_s)
+        lead.scheduler.workers.mark_leaving('i-0', lead.now_s)
         _accept(self.fleet.store, job(step(2)))
         self.fleet.run(10)
         self.assertThat(self.fleet.phase(), _COMPLETED)
@@ -263,7 +263,7 @@
         self.worker.is_draining = True
         lead = self.fleet.lead
         lead.round()
-        lead.scheduler.workers.leave('i-0', lead.now_s)
+        lead.scheduler.workers.mark_leaving('i-0', lead.now_s)
         lead.now_s += 0.6
         lead.plan()
         self.assertThat(
@@ -305,13 +305,11 @@
         worker = _worker()
         lead = FakeLead(store, [worker])
         lead.round()
-        question = lead.scheduler.advice.questions()[0]
-        self.assertThat(
-            question.workers, matchers.Equals((worker.incarnation,))
-        )
+        request = lead.scheduler.advice.pop_requests()[0]
+        self.assertThat(request.workers, matchers.Equals((worker.incarnation,)))
         worker.restart(_LATER_MS)
-        advice = Advice({question.workers[0]: 'paper'}, valid_s=3)
-        lead.scheduler.advice.note(question, advice, lead.now_s)
+        advice = Advice({request.workers[0]: 'paper'}, valid_s=3)
+        lead.scheduler.advice.record_advice(request, advice, lead.now_s)
         lead.hear(worker)
         lead.plan()
         orders = self._orders(lead, worker)
--- a/tests/scheduling/test_scheduler.py
+++ b/tests/scheduling/test_scheduler.py
@@ -22,7 +22,7 @@
 from wigeonreach.jobs import AddJob, JobPhase, RunEnd, RunEnded
 from wigeonreach.lab import commit
 from wigeonreach.scheduling import Scheduler
-from wigeonreach.scheduling._incarnation import LEASE_OVER_S
+from wigeonreach.scheduling._incarnation import LEASE_EXPIRED_S
 from wigeonreach.standins import StandInWorker
 from wigeonreach.wire._worker_messages import RunningTask, WorkerReport
 
@@ -117,20 +117,28 @@
         """A task runs nowhere else before the lease has certainly expired."""
         lead = FakeLead(store_with(job()), workers(1))
         lead.round()
-        lead.now_s += LEASE_OVER_S - 0.05
-        self.assertThat(lead.scheduler.lost(lead.now_s), matchers.HasLength(0))
+        lead.now_s += LEASE_EXPIRED_S - 0.05
+        self.assertThat(
+            lead.scheduler.take_lost_runs(lead.now_s), matchers.HasLength(0)
+        )
         lead.now_s += 0.1
-        self.assertThat(lead.scheduler.lost(lead.now_s), matchers.HasLength(1))
+        self.assertThat(
+            lead.scheduler.take_lost_runs(lead.now_s), matchers.HasLength(1)
+        )
 
     def test_new_leader_waits_out_unknown_leases(self) -> None:
         """An earlier leader may have answered just before the term began."""
         store = store_with(job())
         FakeLead(store, workers(1)).round()
         lead = FakeLead(store, [StandInWorker('w1', 'vm1')])
-        lead.now_s = LEASE_OVER_S - 0.05
-        self.assertThat(lead.scheduler.lost(lead.now_s), matchers.HasLength(0))
-        lead.now_s = LEASE_OVER_S
-        self.assertThat(lead.scheduler.lost(lead.now_s), matchers.HasLength(1))
+        lead.now_s = LEASE_EXPIRED_S - 0.05
+        self.assertThat(
+            lead.scheduler.take_lost_runs(lead.now_s), matchers.HasLength(0)
+        )
+        lead.now_s = LEASE_EXPIRED_S
+        self.assertThat(
+            lead.scheduler.take_lost_runs(lead.now_s), matchers.HasLength(1)
+        )
 
     def test_order_that_had_no_effect_ends_no_incarnation(self) -> None:
         """The platform also confirms orders that it carried out long before."""
@@ -141,11 +149,11 @@
             lead.workers['w0'].advance(percent)
             lead.round(0.2)
             self.assertThat(
-                lead.scheduler.lost(lead.now_s),
+                lead.scheduler.take_lost_runs(lead.now_s),
                 matchers.HasLength(0),
             )
         self.assertThat(
-            lead.scheduler.workers.incarnations['w0'].may_take(lead.now_s),
+            lead.scheduler.workers.incarnations['w0'].accepts_work(lead.now_s),
             matchers.Is(True),
         )
 
@@ -155,7 +163,7 @@
         lead.round()
         lead.scheduler.workers.note_ordered('w0', lead.now_s)
         self.assertThat(
-            lead.scheduler.workers.incarnations['w0'].may_take(lead.now_s),
+            lead.scheduler.workers.incarnations['w0'].accepts_work(lead.now_s),
             matchers.Is(False),
         )
 
@@ -165,7 +173,9 @@
         worker = lead.workers['w0']
         late = worker.report()
         lead.round()
-        self.assertThat(lead.scheduler.hear(late, 5.0), matchers.Is(None))
+        self.assertThat(
+            lead.scheduler.process_heartbeat(late, 5.0), matchers.Is(None)
+        )
 
     def test_late_heartbeat_of_an_ended_worker_ends_no_successor(self) -> None:
         """One heartbeat of an old incarnation does not end the new one."""
@@ -194,7 +204,7 @@
 
 
 def _ends(lead: FakeLead, report: WorkerReport) -> tuple[RunEnded, ...]:
-    heard = lead.scheduler.hear(report, lead.now_s)
+    heard = lead.scheduler.process_heartbeat(report, lead.now_s)
     assert heard is not None
     return heard.ends
 
@@ -210,7 +220,7 @@
         worker.end((key(0), 1), RunEnd.FAILED)
         report = worker.report()
         self.assertThat(_ends(lead, report), matchers.HasLength(1))
-        lead.scheduler.workers.incarnations['w0'].noted = 1
+        lead.scheduler.workers.incarnations['w0'].last_recorded_end = 1
         self.assertThat(_ends(lead, worker.report()), matchers.HasLength(0))
 
     def test_cancelled_job_is_stopped(self) -> None:
--- a/tests/scheduling/test_serving_stops.py
+++ b/tests/scheduling/test_serving_stops.py
@@ -38,7 +38,9 @@
     for worker in lead.workers.values():
         lead.hear(worker)
         incarnation = lead.scheduler.workers.incarnations[worker.name]
-        orders = lead.scheduler.answers.due(incarnation, lead.now_s, lead.now_s)
+        orders = lead.scheduler.answers.answer_if_due(
+            incarnation, lead.now_s, lead.now_s
+        )
         if orders is not None:
             worker.obey(orders)
 
--- a/tests/scheduling/test_stale_heartbeats.py
+++ b/tests/scheduling/test_stale_heartbeats.py
@@ -115,10 +115,10 @@
         commit(store, AddJob(job(step()), 'bookings'))
         lead = FakeLead(store, workers(4))
         lead.round()
-        question = lead.scheduler.advice.questions()[0]
-        allowed = question.workers[0]
+        request = lead.scheduler.advice.pop_requests()[0]
+        allowed = request.workers[0]
         advice = Advice({allowed: 'paper'}, valid_s=3)
-        lead.scheduler.advice.note(question, advice, lead.now_s)
+        lead.scheduler.advice.record_advice(request, advice, lead.now_s)
         stale = lead.workers[allowed].report()
         lead.take(stale)
         lead.round()
--- a/tests/scheduling/test_triage.py
+++ b/tests/scheduling/test_triage.py
@@ -24,7 +24,7 @@
 from wigeonreach.jobs import AddJob, JobPhase, JobSpec, Run, RunEnd
 from wigeonreach.lab import commit
 from wigeonreach.scheduling import _ready
-from wigeonreach.scheduling._objectives import objective_of
+from wigeonreach.scheduling._objectives import objective_s
 from wigeonreach.scheduling._triage import (
     PendingOccurrence,
     deferred_occurrences,
@@ -127,7 +127,7 @@
     def _note_ended(self) -> None:
         for job_id, accepted_s in self._accepted_s.items():
             record = self._lead.store.jobs[job_id]
-            due_s = accepted_s + objective_of(record)
+            due_s = accepted_s + objective_s(record)
             is_done = record.phase is JobPhase.COMPLETED
             if is_done and self._lead.now_s <= due_s:
                 self.in_time.add(job_id)
--- a/tests/scheduling/test_workers.py
+++ b/tests/scheduling/test_workers.py
@@ -15,7 +15,7 @@
     workers,
 )
 from wigeonreach.jobs import RunEnd
-from wigeonreach.scheduling._incarnation import LEASE_OVER_S
+from wigeonreach.scheduling._incarnation import LEASE_EXPIRED_S
 from wigeonreach.scheduling._workers import Workers
 from wigeonreach.standins import StandInWorker
 
@@ -34,44 +34,44 @@
         """A lease is checked when it may expire, and again if renewed."""
         heard, silent = workers(2)
         for worker in (heard, silent):
-            self.tracked.hear(worker.report(), 0)
+            self.tracked.process_heartbeat(worker.report(), 0)
         now_s = 0.0
-        while now_s < LEASE_OVER_S - _SOON_S:
+        while now_s < LEASE_EXPIRED_S - _SOON_S:
             now_s += _SOON_S
-            self.tracked.hear(heard.report(), now_s)
+            self.tracked.process_heartbeat(heard.report(), now_s)
             self.assertThat(self.tracked.ended(now_s), matchers.Equals({}))
-        ended = self.tracked.ended(LEASE_OVER_S)
+        ended = self.tracked.ended(LEASE_EXPIRED_S)
         self.assertThat(set(ended), matchers.Equals({'w1'}))
-        ended = self.tracked.ended(now_s + LEASE_OVER_S)
+        ended = self.tracked.ended(now_s + LEASE_EXPIRED_S)
         self.assertThat(set(ended), matchers.Equals({'w0'}))
 
     def test_worker_that_was_cut_off_returns(self) -> None:
         """It gets work again after it was heard for a while, not at once."""
         worker = workers(1)[0]
-        self.tracked.hear(worker.report(), 0)
-        self.tracked.ended(LEASE_OVER_S)
-        back_s = LEASE_OVER_S + 5
-        returned = self.tracked.hear(worker.report(), back_s)
+        self.tracked.process_heartbeat(worker.report(), 0)
+        self.tracked.ended(LEASE_EXPIRED_S)
+        back_s = LEASE_EXPIRED_S + 5
+        returned = self.tracked.process_heartbeat(worker.report(), back_s)
         assert returned is not None
         self.assertThat(self.tracked.is_over('w0', back_s), matchers.Is(False))
-        self.assertThat(returned.may_take(back_s), matchers.Is(False))
-        self.tracked.hear(worker.report(), back_s + 1.2)
-        self.assertThat(returned.may_take(back_s + 1.2), matchers.Is(True))
+        self.assertThat(returned.accepts_work(back_s), matchers.Is(False))
+        self.tracked.process_heartbeat(worker.report(), back_s + 1.2)
+        self.assertThat(returned.accepts_work(back_s + 1.2), matchers.Is(True))
 
     def test_repeated_heartbeat_is_no_older_one(self) -> None:
         """The forwarding process lost the answer; the worker waits for one."""
         worker = workers(1)[0]
         report = worker.report()
-        first = self.tracked.hear(report, 0)
-        again = self.tracked.hear(report, _SOON_S)
+        first = self.tracked.process_heartbeat(report, 0)
+        again = self.tracked.process_heartbeat(report, _SOON_S)
         assert first is not None
         self.assertThat(again, matchers.Is(first))
         # The repeat does not extend its lease, which counts from the first one.
         self.assertThat(first.heard_s, matchers.Equals(0))
         worker.report()
-        self.tracked.hear(worker.report(), _SOON_S)
+        self.tracked.process_heartbeat(worker.report(), _SOON_S)
         self.assertThat(
-            self.tracked.hear(report, _SOON_S),
+            self.tracked.process_heartbeat(report, _SOON_S),
             matchers.Is(None),
         )
 
@@ -79,40 +79,44 @@
         """A heartbeat that was overtaken by a later one is ignored."""
         worker = workers(1)[0]
         old = worker.report()
-        self.tracked.hear(worker.report(), 0)
-        self.tracked.ended(LEASE_OVER_S)
-        late_s = LEASE_OVER_S + 1
-        self.assertThat(self.tracked.hear(old, late_s), matchers.Is(None))
+        self.tracked.process_heartbeat(worker.report(), 0)
+        self.tracked.ended(LEASE_EXPIRED_S)
+        late_s = LEASE_EXPIRED_S + 1
+        self.assertThat(
+            self.tracked.process_heartbeat(old, late_s), matchers.Is(None)
+        )
 
     def test_worker_that_left_or_was_replaced_does_not_return(self) -> None:
         """Late heartbeats of either worker are ignored."""
         left, replaced = workers(2)
         for worker in (left, replaced):
-            self.tracked.hear(worker.report(), 0)
-        self.tracked.leave('w0', 0)
+            self.tracked.process_heartbeat(worker.report(), 0)
+        self.tracked.mark_leaving('w0', 0)
         successor = StandInWorker('new', 'vm1')
-        for now_s in (2.0, 3.0, LEASE_OVER_S):
-            self.tracked.hear(successor.report(), now_s)
+        for now_s in (2.0, 3.0, LEASE_EXPIRED_S):
+            self.tracked.process_heartbeat(successor.report(), now_s)
             self.tracked.ended(now_s)
         for worker in (left, replaced):
-            late = self.tracked.hear(worker.report(), LEASE_OVER_S + 1)
+            late = self.tracked.process_heartbeat(
+                worker.report(), LEASE_EXPIRED_S + 1
+            )
             self.assertThat(late, matchers.Is(None), worker.name)
 
     def test_lapsed_worker_does_not_return_beside_a_successor(self) -> None:
         """A VM has one worker at a time."""
         old, new = StandInWorker('old', 'vm'), StandInWorker('new', 'vm')
-        self.tracked.hear(old.report(), 0)
-        self.tracked.ended(LEASE_OVER_S)
-        self.tracked.hear(new.report(), LEASE_OVER_S + 1)
-        late = self.tracked.hear(old.report(), LEASE_OVER_S + 2)
+        self.tracked.process_heartbeat(old.report(), 0)
+        self.tracked.ended(LEASE_EXPIRED_S)
+        self.tracked.process_heartbeat(new.report(), LEASE_EXPIRED_S + 1)
+        late = self.tracked.process_heartbeat(old.report(), LEASE_EXPIRED_S + 2)
         self.assertThat(late, matchers.Is(None))
 
     def test_successor_on_a_vm_ends_the_silent_incarnation(self) -> None:
         """The VM's newest incarnation is known from its first heartbeat on."""
         old, new = StandInWorker('old', 'vm'), StandInWorker('new', 'vm')
-        self.tracked.hear(old.report(), 0)
+        self.tracked.process_heartbeat(old.report(), 0)
         for now_s in (1.0, 1.5, 2.5):
-            self.tracked.hear(new.report(), now_s)
+            self.tracked.process_heartbeat(new.report(), now_s)
             of_vm = self.tracked.of_vm('vm')
             assert of_vm is not None
             self.assertThat(of_vm.report.worker, matchers.Equals('new'))
@@ -121,14 +125,14 @@
     def test_worker_that_names_another_vm_is_found_there(self) -> None:
         """The index uses the VM in the newest heartbeat."""
         worker = StandInWorker('w', 'first')
-        self.tracked.hear(worker.report(), 0)
+        self.tracked.process_heartbeat(worker.report(), 0)
         worker.vm = 'second'
-        self.tracked.hear(worker.report(), _SOON_S)
+        self.tracked.process_heartbeat(worker.report(), _SOON_S)
         self.assertThat(self.tracked.of_vm('first'), matchers.Is(None))
         self.assertThat(
             self.tracked.of_vm('second'), matchers.Not(matchers.Is(None))
         )
-        self.tracked.ended(_SOON_S + LEASE_OVER_S)
+        self.tracked.ended(_SOON_S + LEASE_EXPIRED_S)
         self.assertThat(self.tracked.of_vm('second'), matchers.Is(None))
 
 
@@ -194,7 +198,7 @@
         came_s = self.lead.now_s
         heard = self.lead.take(self.worker.report())
         assert heard is not None
-        answer = self.lead.scheduler.answers.due(
+        answer = self.lead.scheduler.answers.answer_if_due(
             heard.incarnation,
             came_s,
             came_s + waited_s,
