--- a/src/wigeonreach/cli/_core_command.py
+++ b/src/wigeonreach/cli/_core_command.py
@@ -10,8 +10,8 @@
 from wigeonreach._runner import start_daemon
 from wigeonreach.cli import _options as options
 from wigeonreach.cli._errors import exit_on_error
-from wigeonreach.core import Core, CoreSettings, NoAdvisor, UnmanagedVms
-from wigeonreach.observe import Logger, LogFormat, LogLevel, Metrics
+from wigeonreach.core import Core, CoreSettings, NullAdvisor, NullVmApi
+from wigeonreach.observe import LogFormat, Logger, LogLevel, Metrics
 from wigeonreach.scheduling import SchedulingSettings
 from wigeonreach.wire import parse_address
 
@@ -80,4 +80,4 @@
 
 def _build_core(settings: CoreSettings, logger: Logger) -> Core:
     # Without a platform there are no VMs to order and no advisor to query.
-    return Core(settings, UnmanagedVms(), NoAdvisor(), logger, Metrics())
+    return Core(settings, NullVmApi(), NullAdvisor(), logger, Metrics())
--- a/src/wigeonreach/core/_call_handler.py
+++ b/src/wigeonreach/core/_call_handler.py
@@ -9,13 +9,13 @@
 from wigeonreach.jobs import (
     AddJob,
     CancelJob,
+    CommandResult,
     JobRecord,
     JobStore,
     QueueSpec,
     SetManifest,
     StartWave,
     StepSpec,
-    Verdict,
 )
 from wigeonreach.observe import LogEvent, Logger, Metrics
 from wigeonreach.wire._call_messages import (
@@ -149,7 +149,7 @@
         return denial
     if not _JOB_ID.fullmatch(job_id):
         return Invalid(f'job id {job_id!r}; allowed: 16 hexadecimal digits')
-    verdict = await handler.term.propose(
+    result = await handler.term.propose(
         AddJob(
             call.spec_for(job_id),
             queue.name,
@@ -157,10 +157,10 @@
             call.credential,
         ),
     )
-    rejection = _rejection_reply(verdict, call, handler)
+    rejection = _rejection_reply(result, call, handler)
     if rejection is not None:
         return rejection
-    if verdict is Verdict.DONE:
+    if result is CommandResult.DONE:
         handler.metrics.count('jobs_accepted')
         handler.term.wake.set()
         handler.log.info(
@@ -176,16 +176,16 @@
 
 
 def _rejection_reply(
-    verdict: Verdict,
+    result: CommandResult,
     call: SubmitJob,
     handler: CallHandler,
 ) -> AnyReply | None:
     """Return the reply to a job that was not accepted, or None otherwise."""
-    if verdict is Verdict.NO_QUEUE:
+    if result is CommandResult.NO_QUEUE:
         return NotFound()
-    if verdict is Verdict.UNAUTHORIZED:
+    if result is CommandResult.UNAUTHORIZED:
         return handler.unauthorized(call)
-    return Forbidden('') if verdict is Verdict.OTHERS else None
+    return Forbidden('') if result is CommandResult.OTHERS else None
 
 
 def _describe_step(step: StepSpec) -> str:
@@ -194,7 +194,7 @@
     return (
         f'{step.count} {kind} {step.cpu_millicores}m {step.memory_mb}MB'
         f' {step.estimate_ms}ms spread={step.spread_limit}'
-        f' miss={step.may_miss} tail={step.latency_target_ms}'
+        f' miss={step.max_unavailable} tail={step.latency_target_ms}'
         f' gang={step.is_gang} rack-local={step.is_rack_local}'
         f' label={step.label} rack={step.data_rack}'
         f' copies={step.has_copies} filler={step.is_filler}'
@@ -245,8 +245,8 @@
         return denial
     if job is None:
         return NoSuchJob()
-    verdict = await handler.term.propose(CancelJob(job_id))
-    if verdict is Verdict.UNKNOWN:
+    result = await handler.term.propose(CancelJob(job_id))
+    if result is CommandResult.UNKNOWN:
         return NoSuchJob()
     handler.log.info(LogEvent.JOB_CANCELLED, job=job_id)
     handler.term.wake.set()
--- a/src/wigeonreach/core/_daemon.py
+++ b/src/wigeonreach/core/_daemon.py
@@ -193,7 +193,7 @@
     async def _refresh_state(self) -> None:
         if self._lead_task is None:
             # Only the leader's scheduler reads and clears the changed jobs.
-            self._store.changed.clear()
+            self._store.changed_jobs.clear()
         self._vm_holds.refresh(steady_s())
         cores = self._gateway.cores
         if cores != self._known_cores:
--- a/src/wigeonreach/core/_null_platform.py
+++ b/src/wigeonreach/core/_null_platform.py
@@ -6,7 +6,7 @@
 from wigeonreach.scheduling._vms import OrderResult, VmRecord
 
 
-class UnmanagedVms:
+class NullVmApi:
     """VM API that neither lists nor changes VMs.
 
     Orders are answered as busy, so that a wave over such VMs is never reported
@@ -26,7 +26,7 @@
         return OrderResult.BUSY
 
 
-class NoAdvisor:
+class NullAdvisor:
     """Advisor that allows no worker to run a step."""
 
     async def advise(self, request: AdviceRequest) -> Advice | None:
--- a/src/wigeonreach/core/_term.py
+++ b/src/wigeonreach/core/_term.py
@@ -15,13 +15,13 @@
 from wigeonreach.jobs import (
     BeginTerm,
     Command,
+    CommandResult,
     ForgetJobs,
     JobStore,
     RecordRuns,
     RunCrashed,
     RunEnded,
     RunStarted,
-    Verdict,
     decode_reply,
     encode_command,
 )
@@ -105,7 +105,7 @@
         """Whether records of earlier leaders are rejected from now on."""
         return self._scheduler is not None
 
-    async def propose(self, command: Command) -> Verdict:
+    async def propose(self, command: Command) -> CommandResult:
         """Replicate a command and return its result.
 
         Raises
@@ -280,8 +280,8 @@
         return 0.0 if accepted_s is None else steady_s() - accepted_s
 
     async def _record(self, command: RecordRuns) -> None:
-        verdict = await self.propose(command)
-        if verdict is Verdict.OUTDATED:
+        result = await self.propose(command)
+        if result is CommandResult.OUTDATED:
             raise asyncio.CancelledError
 
     def _answer_pending(self, now_s: float) -> None:
--- a/src/wigeonreach/core/_vm_actions.py
+++ b/src/wigeonreach/core/_vm_actions.py
@@ -13,10 +13,10 @@
 from wigeonreach.core._vm_orders import VmOrders
 from wigeonreach.exceptions import StateError
 from wigeonreach.jobs import (
+    CommandResult,
     JobStore,
     RecordVmOrders,
     RecordVmStep,
-    Verdict,
     VmStep,
 )
 from wigeonreach.observe import LogEvent, Logger, Metrics
@@ -147,7 +147,7 @@
         record = self._build_record(moves)
         if not (record.vms or record.settled or record.answered):
             return
-        if await self._term.propose(record) is not Verdict.DONE:
+        if await self._term.propose(record) is not CommandResult.DONE:
             return
         for move in moves:
             self._term.scheduler.crashes.note_vm_ordered(
--- a/src/wigeonreach/jobs/_commands.py
+++ b/src/wigeonreach/jobs/_commands.py
@@ -198,7 +198,7 @@
 )
 
 
-class Verdict(enum.IntEnum):
+class CommandResult(enum.IntEnum):
     """Result of applying a command."""
 
     DONE = 0
@@ -216,7 +216,7 @@
     ``version`` is the version of the active manifest.
     """
 
-    verdict: Verdict
+    verdict: CommandResult
     version: int = 0
 
 
--- a/src/wigeonreach/jobs/_model.py
+++ b/src/wigeonreach/jobs/_model.py
@@ -43,7 +43,7 @@
         Upper bound of the tail latency of a serving task; 0 for none.
     is_filler
         Tasks use only spare processor time, so they reserve no processors.
-    may_miss
+    max_unavailable
         How many tasks of a serving step may be stopped at the same time;
         None if there is no guarantee.
     """
@@ -65,10 +65,10 @@
     image: str = ''
     latency_target_ms: int = 0
     is_filler: bool = False
-    may_miss: int | None = None
+    max_unavailable: int | None = None
 
     @property
-    def may_run_twice(self) -> bool:
+    def allows_copies(self) -> bool:
         """Whether two runs of a task may be active concurrently."""
         return self.has_copies and not self.is_gang
 
--- a/src/wigeonreach/jobs/_records.py
+++ b/src/wigeonreach/jobs/_records.py
@@ -168,7 +168,7 @@
             for step in range(len(self.spec.steps))
         )
 
-    def assigned(self) -> Iterator[tuple[TaskKey, TaskRecord]]:
+    def assigned_tasks(self) -> Iterator[tuple[TaskKey, TaskRecord]]:
         """Yield the tasks that are assigned to a worker."""
         for occurrence, _ in enumerate(self.occurrences):
             for key in tasks_of(self.spec, occurrence):
--- a/src/wigeonreach/jobs/_runs.py
+++ b/src/wigeonreach/jobs/_runs.py
@@ -165,9 +165,9 @@
     ended: RunEnded,
 ) -> bool:
     """Whether a run is done before the newer copy of it is."""
-    may_run_twice = job.step_spec(ended.task).may_run_twice
+    allows_copies = job.step_spec(ended.task).allows_copies
     is_older = ended.run < task.run and task.phase not in _FINAL_PHASES
-    return may_run_twice and is_older and ended.end is RunEnd.DONE
+    return allows_copies and is_older and ended.end is RunEnd.DONE
 
 
 def gang_of(job: JobRecord, key: TaskKey) -> tuple[TaskKey, ...]:
--- a/src/wigeonreach/jobs/_store.py
+++ b/src/wigeonreach/jobs/_store.py
@@ -17,6 +17,7 @@
     BeginTerm,
     CancelJob,
     CommandReply,
+    CommandResult,
     ForgetJobs,
     RecordRuns,
     RecordVmOrders,
@@ -26,7 +27,6 @@
     RunStarted,
     SetManifest,
     StartWave,
-    Verdict,
     VmStep,
 )
 from wigeonreach.jobs._model import (
@@ -47,8 +47,8 @@
 from wigeonreach.workspaces import (
     NO_AMOUNTS,
     Amounts,
-    UseBook,
     WorkspaceIndex,
+    WorkspaceUsage,
     fits_cap,
 )
 
@@ -80,11 +80,11 @@
         Term of the leader whose records are accepted.
     jobs
         All jobs whose state may still be queried, by job ID.
-    assigned
+    assigned_runs
         For each worker, the runs that it has or may have.
-    changed
+    changed_jobs
         Jobs that changed since a reader last cleared this set.
-    reassigned
+    changed_workers
         Workers whose runs changed since a reader last cleared this set.
     vm_orders
         By VM, the newest order that a leader has sent or was about to send.
@@ -93,7 +93,7 @@
         reader last cleared these sets.
     queues, workspaces
         Indexes of the queues and the workspaces of the manifest.
-    use
+    usage
         Resources that each workspace uses, or may use, on workers.
     """
 
@@ -102,12 +102,12 @@
         self.manifest = Manifest(version=0)
         self.queues = QueueIndex(self.manifest)
         self.workspaces = WorkspaceIndex()
-        self.use = UseBook()
+        self.usage = WorkspaceUsage()
         self.jobs: dict[str, JobRecord] = {}
         self.waves: dict[int, WaveRecord] = {}
-        self.assigned: dict[str, dict[TaskKey, int]] = {}
-        self.changed: set[str] = set()
-        self.reassigned: set[str] = set()
+        self.assigned_runs: dict[str, dict[TaskKey, int]] = {}
+        self.changed_jobs: set[str] = set()
+        self.changed_workers: set[str] = set()
         self.vm_orders: dict[str, VmOrder] = {}
         self.newly_ordered: set[str] = set()
         self.newly_answered: set[str] = set()
@@ -136,13 +136,13 @@
         self.put_manifest(stored.manifest)
         self.jobs = {job.spec.job_id: job for job in stored.jobs}
         self.waves = {wave.wave: wave for wave in stored.waves}
-        self.reassigned.update(self.assigned)
-        self.assigned = {}
-        self.use.clear()
+        self.changed_workers.update(self.assigned_runs)
+        self.assigned_runs = {}
+        self.usage.clear()
         for job in stored.jobs:
-            for key, task in job.assigned():
+            for key, task in job.assigned_tasks():
                 self.assign(task.worker, key, task.run)
-        self.changed = set(self.jobs)
+        self.changed_jobs = set(self.jobs)
         self.record_vm_orders(dict.fromkeys(stored.ordered_vms, ''))
         for vm, order in stored.vm_orders.items():
             self.record_vm_orders({vm: order.worker})
@@ -181,7 +181,7 @@
         queue = self.queues.named(job.queue.name)
         return queue.service if queue else job.queue.service
 
-    def names_service(self, service: str) -> bool:
+    def has_service(self, service: str) -> bool:
         """Whether the manifest has a service; true without a manifest."""
         named = {spec.name for spec in self.manifest.services}
         return not self.manifest.version or service in named
@@ -195,9 +195,9 @@
         job = self.jobs.get(key.job_id)
         return job.task(key) if job else None
 
-    def held_by(self, worker: str) -> Mapping[TaskKey, int]:
+    def runs_of(self, worker: str) -> Mapping[TaskKey, int]:
         """Return the runs that a worker has or may have."""
-        return self.assigned.get(worker, _NO_RUNS)
+        return self.assigned_runs.get(worker, _NO_RUNS)
 
     def spec_of(self, key: TaskKey) -> StepSpec | None:
         """Return the specification of a task's step, or None if unknown."""
@@ -216,10 +216,10 @@
         spec = self.spec_of(key)
         return spec is not None and not spec.is_service
 
-    def may_run_twice(self, key: TaskKey) -> bool:
+    def allows_copies(self, key: TaskKey) -> bool:
         """Whether two runs of a task may be active concurrently."""
         spec = self.spec_of(key)
-        return spec is not None and spec.may_run_twice
+        return spec is not None and spec.allows_copies
 
     def cap_of(self, job: JobRecord) -> Amounts:
         """Return the current cap of a job's workspace."""
@@ -243,29 +243,29 @@
         """
         if not job.workspace:
             return True
-        used = self.use.used(job.workspace) + extra
+        used = self.usage.used(job.workspace) + extra
         cap = self.cap_of(job)
         return fits_cap(cap, used, step.min_start_amounts, step.amounts)
 
     def assign(self, worker: str, key: TaskKey, run: int) -> None:
         """Assign a run to a worker and count its resources."""
-        held = self.assigned.setdefault(worker, {})
+        held = self.assigned_runs.setdefault(worker, {})
         job = self.jobs.get(key.job_id)
         if job is not None and key not in held:
-            self.use.add(job.workspace, job.step_spec(key).amounts)
+            self.usage.add(job.workspace, job.step_spec(key).amounts)
         held[key] = run
-        self.reassigned.add(worker)
+        self.changed_workers.add(worker)
 
     def unassign(self, worker: str, key: TaskKey) -> None:
         """Remove a task from a worker and release its resources."""
-        held = self.assigned.get(worker)
+        held = self.assigned_runs.get(worker)
         if held is not None:
             job = self.jobs.get(key.job_id)
             if held.pop(key, None) is not None and job is not None:
-                self.use.remove(job.workspace, job.step_spec(key).amounts)
-            self.reassigned.add(worker)
+                self.usage.remove(job.workspace, job.step_spec(key).amounts)
+            self.changed_workers.add(worker)
             if not held:
-                self.assigned.pop(worker)
+                self.assigned_runs.pop(worker)
 
 
 @functools.singledispatch
@@ -277,8 +277,8 @@
 def _apply_set_manifest(command: SetManifest, store: JobStore) -> CommandReply:
     if command.manifest.version > store.manifest.version:
         store.put_manifest(command.manifest)
-        store.changed.update(store.jobs)
-    return CommandReply(Verdict.DONE, store.manifest.version)
+        store.changed_jobs.update(store.jobs)
+    return CommandReply(CommandResult.DONE, store.manifest.version)
 
 
 @_apply_command.register
@@ -286,16 +286,20 @@
     known = store.jobs.get(command.spec.job_id)
     queue = store.queues.named(command.queue)
     if queue is None:
-        return CommandReply(Verdict.KNOWN if known else Verdict.NO_QUEUE)
+        return CommandReply(
+            CommandResult.KNOWN if known else CommandResult.NO_QUEUE
+        )
     # Checked again when the command is applied, not only when the call arrives:
     # only the log order decides whether a job came before the manifest that
     # withdraws its credential.
     caller = store.workspaces.caller(command.credential, queue.is_public)
     if caller is None:
-        return CommandReply(Verdict.UNAUTHORIZED)
+        return CommandReply(CommandResult.UNAUTHORIZED)
     if known is not None:
         is_own = queue.is_public or known.workspace in {'', caller}
-        return CommandReply(Verdict.KNOWN if is_own else Verdict.OTHERS)
+        return CommandReply(
+            CommandResult.KNOWN if is_own else CommandResult.OTHERS
+        )
     record = new_record(
         command.spec,
         queue,
@@ -303,38 +307,38 @@
         store.workspaces.named(caller),
     )
     store.jobs[command.spec.job_id] = record
-    store.changed.add(command.spec.job_id)
-    return CommandReply(Verdict.DONE)
+    store.changed_jobs.add(command.spec.job_id)
+    return CommandReply(CommandResult.DONE)
 
 
 @_apply_command.register
 def _apply_cancel_job(command: CancelJob, store: JobStore) -> CommandReply:
     job = store.jobs.get(command.job_id)
     if job is None:
-        return CommandReply(Verdict.UNKNOWN)
+        return CommandReply(CommandResult.UNKNOWN)
     if job.is_active:
         job.phase = JobPhase.CANCELLED
-        store.changed.add(command.job_id)
-    return CommandReply(Verdict.DONE)
+        store.changed_jobs.add(command.job_id)
+    return CommandReply(CommandResult.DONE)
 
 
 @_apply_command.register
 def _apply_begin_term(command: BeginTerm, store: JobStore) -> CommandReply:
     store.term = max(store.term, command.term)
-    return CommandReply(Verdict.DONE)
+    return CommandReply(CommandResult.DONE)
 
 
 @_apply_command.register
 def _apply_record_runs(command: RecordRuns, store: JobStore) -> CommandReply:
     if command.term != store.term:
         # Records of former leaders are rejected.
-        return CommandReply(Verdict.OUTDATED)
+        return CommandReply(CommandResult.OUTDATED)
     for ended in command.ends:
         _apply_run_end(store, ended)
     for crashed in command.crashes:
         _apply_run_crash(store, crashed)
     _apply_run_starts(store, command.starts)
-    return CommandReply(Verdict.DONE)
+    return CommandReply(CommandResult.DONE)
 
 
 def _apply_run_end(store: JobStore, ended: RunEnded) -> None:
@@ -346,14 +350,14 @@
     workers = {key: task.worker for key, task in held if task is not None}
     for key in runs.apply_run_end(job, ended):
         store.unassign(workers[key], key)
-        store.changed.add(key.job_id)
+        store.changed_jobs.add(key.job_id)
     _unassign_given_up(store, job, ended.task)
 
 
 def _apply_run_crash(store: JobStore, crashed: RunCrashed) -> None:
     job = store.job_of(crashed.task)
     if job is not None and runs.apply_run_crash(job, crashed):
-        store.changed.add(crashed.task.job_id)
+        store.changed_jobs.add(crashed.task.job_id)
         _unassign_given_up(store, job, crashed.task)
 
 
@@ -397,48 +401,52 @@
 ) -> None:
     if runs.apply_run_start(job, start):
         store.assign(start.worker, start.task, start.run)
-        store.changed.add(start.task.job_id)
+        store.changed_jobs.add(start.task.job_id)
 
 
 @_apply_command.register
 def _apply_forget_jobs(command: ForgetJobs, store: JobStore) -> CommandReply:
     for job_id in command.job_ids:
         job = store.jobs.get(job_id)
-        if job is not None and not job.is_active and not any(job.assigned()):
+        if (
+            job is not None
+            and not job.is_active
+            and not any(job.assigned_tasks())
+        ):
             store.jobs.pop(job_id)
-            store.changed.add(job_id)
-    return CommandReply(Verdict.DONE)
+            store.changed_jobs.add(job_id)
+    return CommandReply(CommandResult.DONE)
 
 
 @_apply_command.register
 def _apply_start_wave(command: StartWave, store: JobStore) -> CommandReply:
     if command.wave in store.waves:
-        return CommandReply(Verdict.KNOWN)
+        return CommandReply(CommandResult.KNOWN)
     store.waves[command.wave] = waves.new_wave(command)
-    return CommandReply(Verdict.DONE)
+    return CommandReply(CommandResult.DONE)
 
 
 @_apply_command.register
 def _apply_vm_step(command: RecordVmStep, store: JobStore) -> CommandReply:
     wave = store.waves.get(command.wave)
     if command.term != store.term:
-        return CommandReply(Verdict.OUTDATED)
+        return CommandReply(CommandResult.OUTDATED)
     if wave is None:
-        return CommandReply(Verdict.UNKNOWN)
+        return CommandReply(CommandResult.UNKNOWN)
     waves.apply_vm_step(wave, command)
     if command.step is VmStep.ORDERED:
         store.record_vm_orders({command.vm: command.worker})
-    return CommandReply(Verdict.DONE)
+    return CommandReply(CommandResult.DONE)
 
 
 @_apply_command.register
 def _apply_vm_orders(command: RecordVmOrders, store: JobStore) -> CommandReply:
     if command.term != store.term:
-        return CommandReply(Verdict.OUTDATED)
+        return CommandReply(CommandResult.OUTDATED)
     for settled in command.settled:
         store.vm_orders.pop(settled, None)
         store.newly_ordered.discard(settled)
     store.record_vm_answers(command.answered)
     workers = itertools.zip_longest(command.vms, command.workers, fillvalue='')
     store.record_vm_orders(dict(workers))
-    return CommandReply(Verdict.DONE)
+    return CommandReply(CommandResult.DONE)
--- a/src/wigeonreach/jobs/_waves.py
+++ b/src/wigeonreach/jobs/_waves.py
@@ -30,12 +30,12 @@
         return all(vm.step in _FINAL_STEPS for vm in self.vms.values())
 
     @property
-    def left(self) -> int:
+    def remaining_count(self) -> int:
         """How many VMs are not finished yet."""
         return sum(vm.step not in _FINAL_STEPS for vm in self.vms.values())
 
     @property
-    def ordered(self) -> int:
+    def ordered_count(self) -> int:
         """How many VMs are, or may be, down because of this wave."""
         return sum(vm.step is VmStep.ORDERED for vm in self.vms.values())
 
--- a/src/wigeonreach/lab/_checks.py
+++ b/src/wigeonreach/lab/_checks.py
@@ -61,7 +61,7 @@
         runs.update(key for key, _ in worker.running)
         _check_capacity(worker, store)
     for key, count in runs.items():
-        if count > 1 and not store.may_run_twice(key):
+        if count > 1 and not store.allows_copies(key):
             raise BrokenRuleError(f'{key}: {count} concurrent runs')
 
 
--- a/src/wigeonreach/lab/_demand.py
+++ b/src/wigeonreach/lab/_demand.py
@@ -172,7 +172,7 @@
                 estimate_ms=900,
                 is_service=True,
                 spread_limit=2,
-                may_miss=1,
+                max_unavailable=1,
             )
             yield self._arrival(0, service, (step,), 'serving', (math.inf,))
 
--- a/src/wigeonreach/lab/_virtual_leader.py
+++ b/src/wigeonreach/lab/_virtual_leader.py
@@ -7,10 +7,10 @@
 from wigeonreach.jobs import (
     BeginTerm,
     Command,
+    CommandResult,
     JobStore,
     RecordRuns,
     RunStarted,
-    Verdict,
     decode_reply,
     encode_command,
 )
@@ -25,7 +25,7 @@
 _DEFAULTS = SchedulingSettings()
 
 
-def commit(store: JobStore, command: Command) -> Verdict:
+def commit(store: JobStore, command: Command) -> CommandResult:
     """Apply a command to a store, as if it had been replicated."""
     reply = store.apply(next(_INDEXES), encode_command(command))
     return decode_reply(reply).verdict
--- a/src/wigeonreach/platform/_client_api.py
+++ b/src/wigeonreach/platform/_client_api.py
@@ -27,7 +27,7 @@
 from wigeonreach.workspaces import (
     NO_CREDENTIAL,
     Credential,
-    credential_of,
+    credential_digest,
 )
 
 # Carries the workspace's credential, which the platform calls an API key.
@@ -119,7 +119,7 @@
     matched = _CREDENTIAL_PATTERN.fullmatch(
         request.headers.get(_CREDENTIAL_HEADER, '').strip(),
     )
-    return credential_of(matched.group(1)) if matched else NO_CREDENTIAL
+    return credential_digest(matched.group(1)) if matched else NO_CREDENTIAL
 
 
 def _refusal_of(reply: AnyReply) -> tuple[str, str]:
--- a/src/wigeonreach/platform/_jobs.py
+++ b/src/wigeonreach/platform/_jobs.py
@@ -79,7 +79,7 @@
             image=self.image,
             latency_target_ms=self.target_ms,
             is_filler=self.utilisation,
-            may_miss=self.miss_allowed or None,
+            max_unavailable=self.miss_allowed or None,
         )
 
 
--- a/src/wigeonreach/platform/_manifest.py
+++ b/src/wigeonreach/platform/_manifest.py
@@ -16,7 +16,7 @@
     decode_body,
 )
 from wigeonreach.wire._call_messages import StartWaveCall
-from wigeonreach.workspaces import Amounts, WorkspaceSpec, credential_of
+from wigeonreach.workspaces import Amounts, WorkspaceSpec, credential_digest
 
 
 class _Recommendation(msgspec.Struct, frozen=True, rename='camel'):
@@ -186,7 +186,7 @@
     return tuple(
         WorkspaceSpec(
             tenant.name,
-            tuple(map(credential_of, tenant.api_keys)),
+            tuple(map(credential_digest, tenant.api_keys)),
             tenant.weight,
             Amounts(tenant.cap.cpu, tenant.cap.mem_mb, tenant.cap.gpu),
         )
--- a/src/wigeonreach/scheduling/_answers.py
+++ b/src/wigeonreach/scheduling/_answers.py
@@ -142,7 +142,7 @@
     def _has_batch(self, incarnation: Incarnation) -> bool:
         """Whether a worker has batch runs, assigned or still running."""
         keys = (
-            *self._store.held_by(incarnation.report.worker),
+            *self._store.runs_of(incarnation.report.worker),
             *(row.task for row in incarnation.running),
         )
         return any(not self._store.is_serving(key) for key in keys)
--- a/src/wigeonreach/scheduling/_capacity_cache.py
+++ b/src/wigeonreach/scheduling/_capacity_cache.py
@@ -55,15 +55,15 @@
         if capacity is None:
             capacity = worker_capacity(incarnation, self._store, self._progress)
             self._capacities[worker] = capacity
-        held = self._store.held_by(worker)
+        held = self._store.runs_of(worker)
         capacity.is_reserved = bool(stopping) and any(
             run in stopping for run in held.items()
         )
         return capacity
 
     def _forget_reassigned(self) -> None:
-        if not self._store.reassigned:
+        if not self._store.changed_workers:
             return
-        for worker in self._store.reassigned:
+        for worker in self._store.changed_workers:
             self._capacities.pop(worker, None)
-        self._store.reassigned = set()
+        self._store.changed_workers = set()
--- a/src/wigeonreach/scheduling/_crashes.py
+++ b/src/wigeonreach/scheduling/_crashes.py
@@ -168,7 +168,7 @@
 
     def note_unheard(self, worker: str, now_s: float) -> None:
         """Record a worker with runs of earlier terms, not heard in this one."""
-        held = self._store.held_by(worker)
+        held = self._store.runs_of(worker)
         tasks = [self._store.task_of(key) for key in held]
         vm = next((task.vm for task in tasks if task is not None), '')
         if not vm or worker in self._unexplained:
@@ -286,7 +286,7 @@
         leader may have sent the order.
         """
         listed = {(row.task, row.run) for row in incarnation.running}
-        held = self._store.held_by(incarnation.report.worker).items()
+        held = self._store.runs_of(incarnation.report.worker).items()
         begun = incarnation.ordered_starts.union(
             run for run in held if not incarnation.has_not_begun(run)
         )
--- a/src/wigeonreach/scheduling/_disruption_budget.py
+++ b/src/wigeonreach/scheduling/_disruption_budget.py
@@ -61,7 +61,7 @@
     While it is uncertain which incarnation on a VM is alive, another one may
     have runs that this one does not list.
     """
-    held = store.held_by(incarnation.report.worker)
+    held = store.runs_of(incarnation.report.worker)
     has_work = held or incarnation.running or incarnation.has_unrecorded_start
     return incarnation.is_proven_alive and not has_work
 
@@ -107,7 +107,7 @@
         self._stop_sent_s: dict[Run, float] = {}
         self._inherited_runs: frozenset[Run] = frozenset(
             run
-            for assigned in store.assigned.values()
+            for assigned in store.assigned_runs.values()
             for run in assigned.items()
             if store.is_serving(run[0])
         )
@@ -138,7 +138,7 @@
         being_stopped = frozenset(stopping)
         steps: set[tuple[str, int, int]] = set()
         chosen: list[Run] = []
-        for run in self._store.held_by(incarnation.report.worker).items():
+        for run in self._store.runs_of(incarnation.report.worker).items():
             key, _ = run
             step = (key.job_id, key.occurrence, key.step)
             job = self._store.job_of(key)
@@ -172,7 +172,7 @@
         now_s
             Clock in seconds.
         """
-        held = self._store.held_by(incarnation.report.worker)
+        held = self._store.runs_of(incarnation.report.worker)
         found = StopReview()
         for run in held.items():
             if run not in stopping:
@@ -247,7 +247,9 @@
         now_s: float,
     ) -> bool:
         max_unavailable = (
-            _DEFAULT_MAX_UNAVAILABLE if spec.may_miss is None else spec.may_miss
+            _DEFAULT_MAX_UNAVAILABLE
+            if spec.max_unavailable is None
+            else spec.max_unavailable
         )
         unavailable = sum(
             not self._is_serving(other, job, being_stopped, now_s)
--- a/src/wigeonreach/scheduling/_lost_runs.py
+++ b/src/wigeonreach/scheduling/_lost_runs.py
@@ -68,13 +68,13 @@
             Clock in seconds.
         """
         for worker, ending in ended.items():
-            held = self._store.held_by(worker).items()
+            held = self._store.runs_of(worker).items()
             self.crashes.note_lost(ending.incarnation, held, now_s)
         over = {*ended, *self._unheard_workers(now_s)}
         return tuple(
             self._lost_end(worker, run)
             for worker in sorted(over)
-            for run in self._store.held_by(worker).items()
+            for run in self._store.runs_of(worker).items()
         )
 
     def to_be_copied(self, now_s: float) -> tuple[RunEnded, ...]:
@@ -92,7 +92,7 @@
 
     def _unheard_workers(self, now_s: float) -> Iterator[str]:
         """Yield the ended workers with runs that are not tracked any more."""
-        for worker in tuple(self._store.assigned):
+        for worker in tuple(self._store.assigned_runs):
             if not self._workers.is_over(worker, now_s):
                 continue
             if not self._workers.was_heard(worker):
--- a/src/wigeonreach/scheduling/_maintenance.py
+++ b/src/wigeonreach/scheduling/_maintenance.py
@@ -217,7 +217,7 @@
         at_once = wave.limit
         if self._run_count(vm):
             at_once = min(at_once, self._required_concurrency(wave, now_s))
-        return wave.ordered + len(emptying) < at_once
+        return wave.ordered_count + len(emptying) < at_once
 
     def _required_concurrency(self, wave: WaveRecord, now_s: float) -> int:
         """Return how many VMs at once are needed to end a wave in time."""
@@ -227,7 +227,7 @@
         left_s = wave.due_after_s * _PLANNED_RATIO - (now_s - began_s)
         if left_s <= _VM_TURNAROUND_S:
             return wave.limit
-        return math.ceil(wave.left * _VM_TURNAROUND_S / left_s)
+        return math.ceil(wave.remaining_count * _VM_TURNAROUND_S / left_s)
 
     def _candidates(
         self,
@@ -268,7 +268,7 @@
         incarnation = self._workers.of_vm(vm)
         if incarnation is None:
             return 0
-        return len(self._store.held_by(incarnation.report.worker))
+        return len(self._store.runs_of(incarnation.report.worker))
 
     def _is_within_pool_share(self, vm: str) -> bool:
         incarnation = self._workers.of_vm(vm)
@@ -296,12 +296,12 @@
         """
         if self._busy_ids_cache is None:
             self._busy_ids_cache = frozenset(
-                map(worker_id_of, self._store.assigned)
+                map(worker_id_of, self._store.assigned_runs)
             )
         return self._busy_ids_cache
 
     def _batch_runs(self, incarnation: Incarnation) -> list[Run]:
-        held = self._store.held_by(incarnation.report.worker)
+        held = self._store.runs_of(incarnation.report.worker)
         return [run for run in held.items() if self._store.is_batch(run[0])]
 
     def _is_back(self, wave: WaveRecord, vm: str) -> bool:
--- a/src/wigeonreach/scheduling/_orders.py
+++ b/src/wigeonreach/scheduling/_orders.py
@@ -57,7 +57,7 @@
     drops answers that arrive too late.
     """
     worker = incarnation.report.worker
-    held = store.held_by(worker)
+    held = store.runs_of(worker)
     return WorkerOrders(
         lease_ms=LEASE_MS,
         fence=term,
@@ -99,7 +99,7 @@
     """Yield the assigned runs of a worker that it does not list."""
     listed = {(row.task, row.run) for row in incarnation.running}
     listed.update((ended.task, ended.run) for ended in incarnation.report.ended)
-    for run in store.held_by(incarnation.report.worker).items():
+    for run in store.runs_of(incarnation.report.worker).items():
         if run not in listed:
             yield run
 
@@ -151,7 +151,7 @@
         return 'its job is unknown'
     if not job.is_active:
         return f'its job is {job.phase.name.lower()}'
-    if store.held_by(incarnation.report.worker).get(key) != number:
+    if store.runs_of(incarnation.report.worker).get(key) != number:
         return 'it was given up or replaced by another run'
     if incarnation.report.is_draining:
         return 'its worker is draining'
--- a/src/wigeonreach/scheduling/_preemption.py
+++ b/src/wigeonreach/scheduling/_preemption.py
@@ -144,7 +144,7 @@
 ) -> list[tuple[Run, Resources]]:
     """Return the batch runs of a worker, those with least progress first."""
     progress = {row.task: row.percent for row in worker.incarnation.running}
-    held = store.held_by(worker.incarnation.report.worker)
+    held = store.runs_of(worker.incarnation.report.worker)
     runs: list[tuple[int, Run, Resources]] = []
     for key, run in held.items():
         spec = store.spec_of(key)
--- a/src/wigeonreach/scheduling/_ready.py
+++ b/src/wigeonreach/scheduling/_ready.py
@@ -153,8 +153,8 @@
         list of AcceptedWork
             The first occurrence of each new job.
         """
-        changed = store.changed
-        store.changed = set()
+        changed = store.changed_jobs
+        store.changed_jobs = set()
         accepted: list[AcceptedWork] = []
         for job_id in changed:
             is_new = job_id not in self._accepted_s
--- a/src/wigeonreach/scheduling/_scheduler.py
+++ b/src/wigeonreach/scheduling/_scheduler.py
@@ -132,7 +132,7 @@
         # label.
         self._unplaced_vms: dict[str, dict[str, float]] = {}
         self._store = store
-        store.changed.update(store.jobs)
+        store.changed_jobs.update(store.jobs)
         self.ready.refresh(store, now_s, wall_ms)
 
     def process_heartbeat(
@@ -202,8 +202,8 @@
             return report.service != known.report.service
         if self.workers.by_vm.lacks_start_time(report):
             return True
-        is_named = self._store.names_service(report.service)
-        return not is_named and not self._store.held_by(report.worker)
+        is_named = self._store.has_service(report.service)
+        return not is_named and not self._store.runs_of(report.worker)
 
     def take_lost_runs(self, now_s: float) -> tuple[RunEnded, ...]:
         """Return the runs of lost workers, which are to be reassigned."""
@@ -216,7 +216,7 @@
             self.quarantine.forget(worker)
             self._available.forget(worker)
             self.cap_tracker.untracked_runs.forget(worker)
-            self.progress.forget(worker, self._store.held_by(worker))
+            self.progress.forget(worker, self._store.runs_of(worker))
         self._drop_ended_stops()
         for run_lost in lost:
             self._stops.stop_gang(run_lost.task)
@@ -316,7 +316,7 @@
             return
         held = {
             run
-            for assigned in self._store.assigned.values()
+            for assigned in self._store.assigned_runs.values()
             for run in assigned.items()
         }
         self.stopping &= held
--- a/src/wigeonreach/scheduling/_speculation.py
+++ b/src/wigeonreach/scheduling/_speculation.py
@@ -68,13 +68,13 @@
     for worker, incarnation in incarnations.items():
         if not incarnation.is_silent(now_s):
             continue
-        for run in store.held_by(worker).items():
+        for run in store.runs_of(worker).items():
             if _may_be_copied(run[0], store):
                 yield incarnation, run
 
 
 def _may_be_copied(key: TaskKey, store: JobStore) -> bool:
     task = store.task_of(key)
-    if task is None or not store.may_run_twice(key):
+    if task is None or not store.allows_copies(key):
         return False
     return not task.crashes
--- a/src/wigeonreach/scheduling/_worker_capacity.py
+++ b/src/wigeonreach/scheduling/_worker_capacity.py
@@ -145,7 +145,7 @@
     capacity = WorkerCapacity(
         incarnation, incarnation.resources, collections.Counter()
     )
-    held = store.held_by(worker)
+    held = store.runs_of(worker)
     for key, run in held.items():
         _add_task(capacity, key, store)
         task = store.task_of(key)
--- a/src/wigeonreach/scheduling/sharing/_cap_plan.py
+++ b/src/wigeonreach/scheduling/sharing/_cap_plan.py
@@ -4,7 +4,7 @@
 
 from wigeonreach.jobs import JobRecord, JobStore, StepSpec
 from wigeonreach.scheduling.sharing._untracked_runs import UntrackedRuns
-from wigeonreach.workspaces import Amounts, UseBook
+from wigeonreach.workspaces import Amounts, WorkspaceUsage
 
 
 class CapPlan:
@@ -29,7 +29,7 @@
         """Start without planned runs."""
         self._store = store
         self._untracked = untracked
-        self._planned = UseBook()
+        self._planned = WorkspaceUsage()
         self.capped_jobs: dict[str, str] = {}
 
     def allows(self, job: JobRecord, step: StepSpec) -> bool:
--- a/src/wigeonreach/scheduling/sharing/_cap_watch.py
+++ b/src/wigeonreach/scheduling/sharing/_cap_watch.py
@@ -64,6 +64,6 @@
         ]
 
     def _note(self, job_id: str, workspace: str) -> LogNote:
-        used = self._store.use.used(workspace)
+        used = self._store.usage.used(workspace)
         reason = f'workspace {workspace} is at its cap, in use: {used}'
         return LogNote(LogEvent.JOB_CAPPED, job_id, reason)
--- a/src/wigeonreach/scheduling/sharing/_untracked_runs.py
+++ b/src/wigeonreach/scheduling/sharing/_untracked_runs.py
@@ -9,7 +9,7 @@
 
 from wigeonreach.jobs import JobStore, TaskKey
 from wigeonreach.scheduling._incarnation import Incarnation
-from wigeonreach.workspaces import Amounts, UseBook
+from wigeonreach.workspaces import Amounts, WorkspaceUsage
 
 # A workspace, and the amounts that a run takes of its cap.
 _Usage = tuple[str, Amounts]
@@ -28,7 +28,7 @@
         """Start without untracked runs."""
         self._store = store
         self._by_worker: dict[str, list[_Usage]] = {}
-        self._book = UseBook()
+        self._book = WorkspaceUsage()
 
     def used(self, workspace: str) -> Amounts:
         """Return the usage of a workspace's untracked runs."""
@@ -38,7 +38,7 @@
         """Recount a worker's reported runs that no record assigns to it."""
         worker = incarnation.report.worker
         self.forget(worker)
-        held = self._store.held_by(worker)
+        held = self._store.runs_of(worker)
         for row in incarnation.running:
             if row.task not in held:
                 self.add(worker, row.task)
--- a/src/wigeonreach/workspaces/__init__.py
+++ b/src/wigeonreach/workspaces/__init__.py
@@ -5,11 +5,11 @@
 from wigeonreach.workspaces._credentials import (
     NO_CREDENTIAL,
     Credential,
-    credential_of,
+    credential_digest,
 )
 from wigeonreach.workspaces._index import Denial, WorkspaceIndex
 from wigeonreach.workspaces._model import WorkspaceSpec
-from wigeonreach.workspaces._use_book import UseBook
+from wigeonreach.workspaces._usage import WorkspaceUsage
 
 __all__ = (
     'NO_AMOUNTS',
@@ -17,9 +17,9 @@
     'Amounts',
     'Credential',
     'Denial',
-    'UseBook',
+    'WorkspaceUsage',
     'WorkspaceIndex',
     'WorkspaceSpec',
-    'credential_of',
+    'credential_digest',
     'fits_cap',
 )
--- a/src/wigeonreach/workspaces/_credentials.py
+++ b/src/wigeonreach/workspaces/_credentials.py
@@ -11,6 +11,6 @@
 NO_CREDENTIAL: Credential = b''
 
 
-def credential_of(api_key: str) -> Credential:
+def credential_digest(api_key: str) -> Credential:
     """Return the digest that replaces an API key inside the system."""
     return hashlib.sha256(api_key.encode(errors='replace')).digest()
--- a/src/wigeonreach/workspaces/_index.py
+++ b/src/wigeonreach/workspaces/_index.py
@@ -38,7 +38,7 @@
         before: WorkspaceIndex | None = None,
     ) -> None:
         """Build the index."""
-        self.asks_credentials = workspaces is not None
+        self.requires_credentials = workspaces is not None
         self._by_name = {spec.name: spec for spec in workspaces or ()}
         self._owners = {
             credential: spec.name
@@ -74,7 +74,7 @@
             Empty for a call without a known credential where none is needed;
             None if one is needed and it identifies no workspace.
         """
-        if is_public or not self.asks_credentials:
+        if is_public or not self.requires_credentials:
             return self._owners.get(credential, '')
         return self._owners.get(credential)
 
--- a/src/wigeonreach/workspaces/_use_book.py
+++ b/src/wigeonreach/workspaces/_usage.py
@@ -7,7 +7,7 @@
 from wigeonreach.workspaces._amounts import NO_AMOUNTS, Amounts
 
 
-class UseBook:
+class WorkspaceUsage:
     """Sums of the resources that the tasks of each workspace use.
 
     The sums are updated incrementally, so that a start does not have to iterate
--- a/tests/builders_days.py
+++ b/tests/builders_days.py
@@ -232,7 +232,7 @@
                 self.noted_done.add(ended.task)
 
     def _check_not_done(self, key: TaskKey) -> None:
-        is_single = not self.store.may_run_twice(key)
+        is_single = not self.store.allows_copies(key)
         if key in self.noted_done and is_single:
             raise BrokenRuleError(f'{key}: started again after it succeeded')
 
--- a/tests/builders_jobs.py
+++ b/tests/builders_jobs.py
@@ -75,7 +75,7 @@
     fields: dict[str, object] = {
         'is_service': True,
         'spread_limit': 1,
-        'may_miss': 1,
+        'max_unavailable': 1,
         'latency_target_ms': 100,
     }
     fields.update(changes)
--- a/tests/builders_workspaces.py
+++ b/tests/builders_workspaces.py
@@ -22,7 +22,7 @@
     NO_AMOUNTS,
     Amounts,
     WorkspaceSpec,
-    credential_of,
+    credential_digest,
 )
 
 CLUB = 'club'
@@ -42,7 +42,7 @@
 ) -> WorkspaceSpec:
     """Return a workspace with some API keys."""
     keys = api_keys or (_KEYS[name],)
-    return WorkspaceSpec(name, tuple(map(credential_of, keys)), weight, cap)
+    return WorkspaceSpec(name, tuple(map(credential_digest, keys)), weight, cap)
 
 
 def workspaces_manifest(
@@ -79,7 +79,7 @@
     queue_name: str = QUEUE,
 ) -> None:
     """Submit a job with an API key."""
-    commit(store, AddJob(spec, queue_name, 0, credential_of(api_key)))
+    commit(store, AddJob(spec, queue_name, 0, credential_digest(api_key)))
 
 
 def numbered_job(number: int, *steps: StepSpec) -> JobSpec:
--- a/tests/core/test_vm_holds.py
+++ b/tests/core/test_vm_holds.py
@@ -13,9 +13,9 @@
 from wigeonreach.core._vm_holds import VmHolds
 from wigeonreach.jobs import (
     BeginTerm,
+    CommandResult,
     JobStore,
     RecordVmOrders,
-    Verdict,
     VmStep,
 )
 from wigeonreach.lab import commit
@@ -124,7 +124,7 @@
     def test_record_of_former_leader_is_rejected(self) -> None:
         """Its record is rejected, so it sends no order."""
         commit(self.store, BeginTerm(TERM + 1))
-        verdict = commit(self.store, RecordVmOrders(TERM, ('vm4',)))
-        self.assertThat(verdict, matchers.Is(Verdict.OUTDATED))
+        result = commit(self.store, RecordVmOrders(TERM, ('vm4',)))
+        self.assertThat(result, matchers.Is(CommandResult.OUTDATED))
         self.holds.refresh(20)
         self.assertThat(self.holds.held_vms(21, 21), matchers.Equals(set()))
--- a/tests/jobs/test_store.py
+++ b/tests/jobs/test_store.py
@@ -21,6 +21,7 @@
     AddJob,
     BeginTerm,
     CancelJob,
+    CommandResult,
     ForgetJobs,
     JobPhase,
     JobStore,
@@ -30,7 +31,6 @@
     RunStarted,
     SetManifest,
     TaskPhase,
-    Verdict,
 )
 from wigeonreach.jobs._queue_index import QueueIndex
 from wigeonreach.lab import commit
@@ -61,8 +61,8 @@
         """A job ID that was accepted before does not change the job."""
         store = store_with(job(step(2)))
         _start(store)
-        verdict = commit(store, AddJob(job(step(5)), QUEUE))
-        self.assertThat(verdict, matchers.Equals(Verdict.KNOWN))
+        result = commit(store, AddJob(job(step(5)), QUEUE))
+        self.assertThat(result, matchers.Equals(CommandResult.KNOWN))
         self.assertThat(
             len(store.jobs[JOB].occurrences[0][0]),
             matchers.Equals(2),
@@ -72,8 +72,8 @@
         """A manifest may be applied before a job that was submitted earlier."""
         store = store_with()
         commit(store, SetManifest(manifest(queue('other'), version=2)))
-        verdict = commit(store, AddJob(job(), QUEUE))
-        self.assertThat(verdict, matchers.Equals(Verdict.NO_QUEUE))
+        result = commit(store, AddJob(job(), QUEUE))
+        self.assertThat(result, matchers.Equals(CommandResult.NO_QUEUE))
         self.assertThat(store.jobs, matchers.HasLength(0))
 
     def test_start_for_cancelled_job_is_ignored(self) -> None:
@@ -81,7 +81,7 @@
         store = store_with(job())
         commit(store, CancelJob(JOB))
         _start(store)
-        self.assertThat(store.assigned, matchers.HasLength(0))
+        self.assertThat(store.assigned_runs, matchers.HasLength(0))
 
     def test_job_with_assigned_runs_is_not_deleted(self) -> None:
         """A job is deleted only once it ended and has no assigned runs."""
@@ -165,7 +165,7 @@
             store.jobs[JOB].phase,
             matchers.Equals(JobPhase.COMPLETED),
         )
-        self.assertThat(store.assigned, matchers.HasLength(0))
+        self.assertThat(store.assigned_runs, matchers.HasLength(0))
 
     def test_late_failure_of_a_lost_run_is_ignored(self) -> None:
         """A lost run never counts as a failure of its task."""
@@ -221,7 +221,7 @@
             store.jobs[JOB].phase,
             matchers.Equals(JobPhase.COMPLETED),
         )
-        self.assertThat(store.assigned, matchers.HasLength(0))
+        self.assertThat(store.assigned_runs, matchers.HasLength(0))
 
     def test_gang_members_share_a_checkpoint(self) -> None:
         """All members restart from the same checkpoint."""
@@ -239,7 +239,7 @@
         store = store_with(job())
         commit(store, BeginTerm(TERM + 1))
         _start(store)
-        self.assertThat(store.assigned, matchers.HasLength(0))
+        self.assertThat(store.assigned_runs, matchers.HasLength(0))
 
 
 class TestUnknownTasks(testtools.TestCase):
@@ -267,4 +267,6 @@
         _end(other, RunEnd.DONE)
         _end(store, RunEnd.DONE)
         self.assertThat(other.snapshot(), matchers.Equals(store.snapshot()))
-        self.assertThat(other.assigned, matchers.Equals(store.assigned))
+        self.assertThat(
+            other.assigned_runs, matchers.Equals(store.assigned_runs)
+        )
--- a/tests/platform/test_decoding.py
+++ b/tests/platform/test_decoding.py
@@ -88,7 +88,7 @@
                 step.is_filler,
                 step.spread_limit,
                 step.data_rack,
-                step.may_miss,
+                step.max_unavailable,
                 step.latency_target_ms,
             ),
             matchers.Equals((True, True, True, 2, 'r1-3', 1, 80)),
--- a/tests/scheduling/sharing/test_caps.py
+++ b/tests/scheduling/sharing/test_caps.py
@@ -184,7 +184,9 @@
         lead = FakeLead(store, workers(1))
         lead.hear(lead.workers['w0'])
         lead.plan()
-        self.assertThat(store.use.used(CLUB).millicores, matchers.Equals(4_000))
+        self.assertThat(
+            store.usage.used(CLUB).millicores, matchers.Equals(4_000)
+        )
         _change_cap(store, Amounts(2_000))
         lead.round()
         self.assertThat(_count_running(lead, _MINE), matchers.LessThan(3))
@@ -209,8 +211,8 @@
         restored = JobStore()
         restored.restore(store.snapshot())
         self.assertThat(
-            restored.use.by_workspace,
-            matchers.Equals(store.use.by_workspace),
+            restored.usage.by_workspace,
+            matchers.Equals(store.usage.by_workspace),
         )
 
 
--- a/tests/scheduling/sharing/test_random_caps.py
+++ b/tests/scheduling/sharing/test_random_caps.py
@@ -24,7 +24,7 @@
 from wigeonreach.lab import BrokenRuleError, commit
 from wigeonreach.scheduling.sharing import CapPlan
 from wigeonreach.wire._worker_messages import StartOrder
-from wigeonreach.workspaces import NO_AMOUNTS, Amounts, UseBook
+from wigeonreach.workspaces import NO_AMOUNTS, Amounts, WorkspaceUsage
 
 _DAYS = 25
 _DAYS_UNTIL_FOUND = 25
@@ -109,11 +109,11 @@
         """Check that the recorded usage equals a fresh count."""
         super().check()
         counted = _recount(self.store)
-        if self.store.use.by_workspace != counted:
-            raise BrokenRuleError(f'{self.store.use.by_workspace}: {counted}')
+        if self.store.usage.by_workspace != counted:
+            raise BrokenRuleError(f'{self.store.usage.by_workspace}: {counted}')
 
     def _running(self) -> dict[str, Amounts]:
-        book = UseBook()
+        book = WorkspaceUsage()
         for machine in self.machines:
             if self.now_s >= machine.down_until_s:
                 for key, _ in machine.worker.running:
@@ -125,7 +125,7 @@
 def _recount(store: JobStore) -> dict[str, Amounts]:
     book: dict[str, Amounts] = collections.defaultdict(Amounts)
     for record in store.jobs.values():
-        for key, _ in record.assigned():
+        for key, _ in record.assigned_tasks():
             book[record.workspace] += record.step_spec(key).amounts
     return {name: used for name, used in book.items() if used != NO_AMOUNTS}
 
--- a/tests/scheduling/test_advice.py
+++ b/tests/scheduling/test_advice.py
@@ -42,7 +42,7 @@
         """The advisor is asked about a few workers first."""
         lead = _lead(1)
         lead.round()
-        self.assertThat(lead.store.assigned, matchers.HasLength(0))
+        self.assertThat(lead.store.assigned_runs, matchers.HasLength(0))
         requests = lead.scheduler.advice.pop_requests()
         self.assertThat(requests, matchers.HasLength(1))
         self.assertThat(requests[0].workers, matchers.HasLength(2))
@@ -77,7 +77,7 @@
         for restored in lead.workers.values():
             restored.cpu_millicores = 16_000
         lead.round(2.6)
-        self.assertThat(lead.store.assigned, matchers.HasLength(0))
+        self.assertThat(lead.store.assigned_runs, matchers.HasLength(0))
         self.assertThat(
             lead.scheduler.advice.pop_requests(),
             matchers.HasLength(1),
--- a/tests/scheduling/test_copies.py
+++ b/tests/scheduling/test_copies.py
@@ -57,7 +57,9 @@
         lead.round()
         lead.now_s += 3
         lead.plan()
-        phases = {task.phase for _, task in lead.store.jobs[JOB].assigned()}
+        phases = {
+            task.phase for _, task in lead.store.jobs[JOB].assigned_tasks()
+        }
         self.assertThat(phases, matchers.Equals({TaskPhase.ASSIGNED}))
 
     def test_first_finished_run_counts(self) -> None:
--- a/tests/scheduling/test_random_moving.py
+++ b/tests/scheduling/test_random_moving.py
@@ -87,7 +87,7 @@
         self.serial = itertools.count(1)
         self.waves = itertools.count(1)
         self.store = store_with()
-        self.may_miss = self.rng.choice((1, 2))
+        self.max_unavailable = self.rng.choice((1, 2))
         self.lead = FakeLead(self.store, ())
         self.vms = [
             _Vm(f'vm{number}', StandInWorker(f'w{number}', f'vm{number}'))
@@ -98,7 +98,7 @@
         self.not_serving_since: dict[TaskKey, int] = {}
         self.unrecorded: tuple[RunStarted, ...] = ()
         self.vm_orders: list[tuple[int, int, str, str]] = []
-        serving = serving_step(_TASKS, may_miss=self.may_miss)
+        serving = serving_step(_TASKS, max_unavailable=self.max_unavailable)
         commit(self.store, AddJob(job(serving, job_id='a' * 16), QUEUE))
 
     def step(self) -> None:
@@ -298,7 +298,11 @@
             or self.now - self.not_serving_since.get(key, self.now)
             >= _NOTICE_STEPS
         }
-        if is_serving and vm.keeps_runs and len(unavailable) >= self.may_miss:
+        if (
+            is_serving
+            and vm.keeps_runs
+            and len(unavailable) >= self.max_unavailable
+        ):
             raise BrokenRuleError(
                 f'{run}: {len(unavailable)} others are unavailable'
             )
--- a/tests/scheduling/test_restarts.py
+++ b/tests/scheduling/test_restarts.py
@@ -205,10 +205,10 @@
         FakeLead(store, [worker]).round()
         restored = JobStore()
         restored.restore(store.snapshot())
-        held = restored.held_by(worker.incarnation)
+        held = restored.runs_of(worker.incarnation)
         self.assertThat(held, matchers.HasLength(2))
         worker.restart(_LATER_MS)
-        held = restored.held_by(worker.incarnation)
+        held = restored.runs_of(worker.incarnation)
         self.assertThat(held, matchers.HasLength(0))
 
 
--- a/tests/scheduling/test_scheduler.py
+++ b/tests/scheduling/test_scheduler.py
@@ -104,10 +104,10 @@
         gang = step(3, cpu_millicores=_FULL, is_gang=True)
         lead = FakeLead(store_with(job(gang)), workers(2))
         lead.round()
-        self.assertThat(lead.store.assigned, matchers.HasLength(0))
+        self.assertThat(lead.store.assigned_runs, matchers.HasLength(0))
         lead.workers['w2'] = StandInWorker('w2', 'vm2')
         lead.round()
-        self.assertThat(lead.store.assigned, matchers.HasLength(3))
+        self.assertThat(lead.store.assigned_runs, matchers.HasLength(3))
 
 
 class TestLeases(testtools.TestCase):
@@ -263,7 +263,7 @@
         lead.round()
         serving = job(serving_step(2), job_id=OTHER_JOB)
         lead.store.jobs.update(store_with(serving).jobs)
-        lead.store.changed.add(OTHER_JOB)
+        lead.store.changed_jobs.add(OTHER_JOB)
         for _ in range(4):
             lead.round()
         served = [
