--- a/src/wigeonreach/core/_daemon.py
+++ b/src/wigeonreach/core/_daemon.py
@@ -195,7 +195,7 @@
         if self._lead_task is None:
             # The changed jobs are for a leader's scheduler, which clears them;
             # in a follower, nothing else would.
-            self._store.changed.clear()
+            self._store.changed_jobs.clear()
         self._vm_holds.refresh(steady_s())
         cores = self._gateway.cores
         if cores != self._known_cores:
--- a/src/wigeonreach/core/_null_platform.py
+++ b/src/wigeonreach/core/_null_platform.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from wigeonreach.scheduling._advice import Advice, Question
+from wigeonreach.scheduling._advice import Advice, AdviceRequest
 from wigeonreach.scheduling._vms import OrderResult, VmRecord
 
 
-class UnmanagedVms:
+class NullVmApi:
     """VM API that neither lists nor changes VMs.
 
     Orders are answered as busy, so that a wave over such VMs is never reported
@@ -26,9 +26,9 @@
         return OrderResult.BUSY
 
 
-class NoAdvisor:
+class NullAdvisor:
     """Advisor that allows no worker to run a step."""
 
-    async def advise(self, question: Question) -> Advice | None:
+    async def advise(self, request: AdviceRequest) -> Advice | None:
         """Return no tickets."""
         return Advice({}, 0)
--- a/src/wigeonreach/core/_term.py
+++ b/src/wigeonreach/core/_term.py
@@ -15,13 +15,13 @@
 from wigeonreach.jobs import (
     BeginTerm,
     Command,
+    CommandResult,
     ForgetJobs,
     JobStore,
     RecordRuns,
     RunCrashed,
     RunEnded,
     RunStarted,
-    Verdict,
     decode_reply,
     encode_command,
 )
@@ -105,7 +105,7 @@
         """Whether ``begin`` is done, so that earlier leaders are fenced off."""
         return self._scheduler is not None
 
-    async def propose(self, command: Command) -> Verdict:
+    async def propose(self, command: Command) -> CommandResult:
         """Replicate a command and return its result.
 
         Raises
@@ -148,7 +148,7 @@
 
     def mark_leaving(self, worker: str) -> None:
         """Record that a worker announced its shutdown."""
-        self.scheduler.workers.leave(worker, steady_s())
+        self.scheduler.workers.mark_leaving(worker, steady_s())
 
     async def run(self) -> None:
         """Run scheduling cycles until cancelled."""
@@ -196,8 +196,8 @@
         now_s: float,
     ) -> None:
         ends = self._process_heartbeats(received, now_s)
-        lost = self.scheduler.lost(now_s)
-        crashes = self.scheduler.crashed(now_s)
+        lost = self.scheduler.take_lost_runs(now_s)
+        crashes = self.scheduler.crashes_to_record(now_s)
         self._log.runs_reassigned(lost)
         self._log.beliefs_changed(self.scheduler.notes)
         self.scheduler.notes.clear()
@@ -221,15 +221,17 @@
             known = self.scheduler.workers.incarnations.get(
                 heartbeat.report.worker
             )
-            heard = self.scheduler.hear(heartbeat.report, heartbeat.received_s)
-            if heard is None:
+            result = self.scheduler.process_heartbeat(
+                heartbeat.report, heartbeat.received_s
+            )
+            if result is None:
                 self._log_ignored(heartbeat.report)
                 heartbeat.resolve(WorkerOrders())
                 continue
-            heartbeat.incarnation = heard.incarnation
-            ends.extend(heard.ends)
-            if heard.stalled:
-                self._log.runs_stopped(heard)
+            heartbeat.incarnation = result.incarnation
+            ends.extend(result.ends)
+            if result.stalled:
+                self._log.runs_stopped(result)
             if known is None:
                 self._log.worker_joined(heartbeat.report)
         self._metrics.count('heartbeats', amount=len(received))
@@ -239,8 +241,8 @@
         if self.scheduler.is_foreign(report):
             self._log.heartbeat_foreign(report)
             return
-        is_gone = self.scheduler.workers.is_gone(report.worker)
-        self._log.heartbeat_late(report, is_gone)
+        has_ended = self.scheduler.workers.has_ended(report.worker)
+        self._log.heartbeat_late(report, has_ended)
 
     async def _record_ends(
         self,
@@ -280,8 +282,8 @@
         return 0.0 if accepted_s is None else steady_s() - accepted_s
 
     async def _record(self, command: RecordRuns) -> None:
-        verdict = await self.propose(command)
-        if verdict is Verdict.OUTDATED:
+        result = await self.propose(command)
+        if result is CommandResult.OUTDATED:
             # A newer leader has begun, so this task ends as if cancelled.
             raise asyncio.CancelledError
 
@@ -306,7 +308,7 @@
         incarnation = heartbeat.incarnation
         if incarnation is None:
             return WorkerOrders()
-        return self.scheduler.answers.due(
+        return self.scheduler.answers.answer_if_due(
             incarnation, heartbeat.received_s, now_s
         )
 
@@ -340,4 +342,6 @@
         # From the incarnation's own report: a repeated heartbeat may come from
         # another writer.
         for ended in incarnation.report.ended:
-            incarnation.noted = max(incarnation.noted, ended.number)
+            incarnation.last_recorded_end = max(
+                incarnation.last_recorded_end, ended.number
+            )
--- a/src/wigeonreach/jobs/_commands.py
+++ b/src/wigeonreach/jobs/_commands.py
@@ -201,7 +201,7 @@
 )
 
 
-class Verdict(enum.IntEnum):
+class CommandResult(enum.IntEnum):
     """Result of applying a command."""
 
     DONE = 0
@@ -220,7 +220,7 @@
     ``SetManifest``, and 0 in all others.
     """
 
-    verdict: Verdict
+    verdict: CommandResult
     version: int = 0
 
 
--- a/src/wigeonreach/lab/_checks.py
+++ b/src/wigeonreach/lab/_checks.py
@@ -5,9 +5,9 @@
 import collections
 from collections.abc import Iterable
 
-from wigeonreach._room import NO_ROOM
+from wigeonreach._resources import NO_RESOURCES
 from wigeonreach.jobs import JobStore, TaskKey
-from wigeonreach.scheduling._incarnation import room_of
+from wigeonreach.scheduling._incarnation import resources_of
 from wigeonreach.standins import StandInWorker
 from wigeonreach.wire._worker_messages import StartOrder
 
@@ -61,12 +61,14 @@
         runs.update(key for key, _ in worker.running)
         _check_capacity(worker, store)
     for key, count in runs.items():
-        if count > 1 and not store.may_run_twice(key):
+        if count > 1 and not store.allows_copies(key):
             raise BrokenRuleError(f'{key}: {count} concurrent runs')
 
 
 def _check_capacity(worker: StandInWorker, store: JobStore) -> None:
     specs = [store.spec_of(key) for key, _ in worker.running]
-    needs = [spec.room for spec in specs if spec is not None]
-    if not room_of(worker.last_report).holds(sum(needs, start=NO_ROOM)):
+    needs = [spec.resources for spec in specs if spec is not None]
+    if not resources_of(worker.last_report).covers(
+        sum(needs, start=NO_RESOURCES)
+    ):
         raise BrokenRuleError(f'{worker.vm}: runs exceed its capacity')
--- a/src/wigeonreach/scheduling/_moving_out.py
+++ b/src/wigeonreach/scheduling/_disruption_budget.py
@@ -21,7 +21,7 @@
     TaskPhase,
 )
 from wigeonreach.scheduling._incarnation import SILENT_AFTER_S, Incarnation
-from wigeonreach.scheduling._progress import ProgressWatch
+from wigeonreach.scheduling._progress import ProgressTracker
 from wigeonreach.scheduling._settings import SchedulingSettings
 
 # Limit for steps that don't set one.
@@ -61,7 +61,7 @@
     While it is uncertain which incarnation on a VM is alive, another one may
     have runs that this one does not list.
     """
-    held = store.held_by(incarnation.report.worker)
+    held = store.runs_of(incarnation.report.worker)
     has_work = held or incarnation.running or incarnation.has_unrecorded_start
     return incarnation.is_proven_alive and not has_work
 
@@ -85,7 +85,7 @@
         self,
         store: JobStore,
         incarnations: Mapping[str, Incarnation],
-        progress: ProgressWatch,
+        progress: ProgressTracker,
         settings: SchedulingSettings,
     ) -> None:
         """Take over the runs that earlier leaders started or stopped."""
@@ -100,13 +100,15 @@
         # may have failed right after the heartbeat.  A stop of another task
         # that relies on the heartbeat must arrive before the failed task counts
         # as unavailable.
-        max_age_s = min(SILENT_AFTER_S, settings.notice_s - _ANSWER_TIMEOUT_S)
+        max_age_s = min(
+            SILENT_AFTER_S, settings.unavailable_after_s - _ANSWER_TIMEOUT_S
+        )
         self._max_report_age_s = max(max_age_s, _MIN_REPORT_AGE_S)
         # When the stop of each run was last put into an answer.
         self._stop_sent_s: dict[Run, float] = {}
         self._inherited_runs: frozenset[Run] = frozenset(
             run
-            for assigned in store.assigned.values()
+            for assigned in store.assigned_runs.values()
             for run in assigned.items()
             if store.is_serving(run[0])
         )
@@ -137,7 +139,7 @@
         being_stopped = frozenset(stopping)
         steps: set[tuple[str, int, int]] = set()
         chosen: list[Run] = []
-        for run in self._store.held_by(incarnation.report.worker).items():
+        for run in self._store.runs_of(incarnation.report.worker).items():
             key, _ = run
             step = (key.job_id, key.occurrence, key.step)
             job = self._store.job_of(key)
@@ -171,7 +173,7 @@
         now_s
             Clock in seconds.
         """
-        held = self._store.held_by(incarnation.report.worker)
+        held = self._store.runs_of(incarnation.report.worker)
         found = StopReview()
         for run in held.items():
             if run not in stopping:
@@ -234,7 +236,7 @@
             return False
         if _is_listed_serving(incarnation, run):
             return True
-        worked_s = self._progress.worked_s(run, incarnation.heard_s)
+        worked_s = self._progress.reported_for_s(run, incarnation.heard_s)
         return worked_s < _STARTUP_TIMEOUT_S
 
     def _is_within_budget(
@@ -246,7 +248,9 @@
         now_s: float,
     ) -> bool:
         max_unavailable = (
-            _DEFAULT_MAX_UNAVAILABLE if spec.may_miss is None else spec.may_miss
+            _DEFAULT_MAX_UNAVAILABLE
+            if spec.max_unavailable is None
+            else spec.max_unavailable
         )
         unavailable = sum(
             not self._is_serving(other, job, being_stopped, now_s)
--- a/src/wigeonreach/scheduling/_incarnation.py
+++ b/src/wigeonreach/scheduling/_incarnation.py
@@ -4,7 +4,7 @@
 
 import dataclasses
 
-from wigeonreach._room import Room
+from wigeonreach._resources import Resources
 from wigeonreach.jobs import Run, RunEnded
 from wigeonreach.jobs._model import MEBIBYTE, MILLICORES
 from wigeonreach.scheduling._send_time import SendTimeEstimator
@@ -19,7 +19,7 @@
 _SLOW_CLOCK_RATIO = 1.02
 # Covers the stop at the end of a lease, and a late tick of this process.
 _LEASE_MARGIN_S = 0.3
-LEASE_OVER_S = _LEASE_S * _SLOW_CLOCK_RATIO + _LEASE_MARGIN_S
+LEASE_EXPIRED_S = _LEASE_S * _SLOW_CLOCK_RATIO + _LEASE_MARGIN_S
 # An incarnation that is heard over this time is alive.  Delayed heartbeats of a
 # dead one may still arrive, but not spread over so long.
 PROVEN_ALIVE_S = 1.0
@@ -51,9 +51,9 @@
         When its first heartbeat of this term arrived.
     heard_s
         When its newest heartbeat arrived.
-    room
+    resources
         All resources of the worker.
-    noted
+    last_recorded_end
         Number of the last of its ends that is committed.
     ends_at_s
         When it has certainly ended, once it announced its end.
@@ -76,8 +76,8 @@
     report: WorkerReport
     first_heard_s: float
     heard_s: float
-    room: Room
-    noted: int = 0
+    resources: Resources
+    last_recorded_end: int = 0
     ends_at_s: float | None = None
     ordered_s: float = float('-inf')
     unproven_since_s: float = float('-inf')
@@ -101,7 +101,7 @@
         self.report = report
         self.heard_s = now_s
         self.sent_s = self._send_time.estimate_s(report.clock_ms, now_s)
-        self.room = room_of(report)
+        self.resources = resources_of(report)
 
     @property
     def running(self) -> tuple[RunningTask, ...]:
@@ -111,14 +111,14 @@
     @property
     def lease_over_s(self) -> float:
         """Time from which none of its runs can go on, as its lease is over."""
-        return self.heard_s + LEASE_OVER_S
+        return self.heard_s + LEASE_EXPIRED_S
 
     @property
     def is_ending(self) -> bool:
         """Whether it drains or announced its end."""
         return self.report.is_draining or self.ends_at_s is not None
 
-    def may_take(self, now_s: float) -> bool:
+    def accepts_work(self, now_s: float) -> bool:
         """Whether it may be given new work."""
         is_ordered = self.heard_s - self.ordered_s < _ORDER_EFFECT_S
         is_doubtful = self.is_ending or is_ordered or not self.is_proven_alive
@@ -165,7 +165,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Heard:
+class HeartbeatResult:
     """The result of a heartbeat.
 
     Attributes
@@ -183,9 +183,9 @@
     stalled: tuple[Run, ...] = ()
 
 
-def room_of(report: WorkerReport) -> Room:
+def resources_of(report: WorkerReport) -> Resources:
     """Return all resources of a worker."""
-    return Room(
+    return Resources(
         report.cpu_millicores / MILLICORES,
         report.memory_mb * MEBIBYTE,
         report.accelerators,
--- a/src/wigeonreach/scheduling/_lost_runs.py
+++ b/src/wigeonreach/scheduling/_lost_runs.py
@@ -5,10 +5,10 @@
 from collections.abc import Iterator, Mapping
 
 from wigeonreach.jobs import JobStore, Run, RunEnd, RunEnded
-from wigeonreach.scheduling._crashes import CrashWatch
+from wigeonreach.scheduling._crashes import CrashTracker
 from wigeonreach.scheduling._incarnation import EndedIncarnation
-from wigeonreach.scheduling._progress import ProgressWatch
-from wigeonreach.scheduling._second_runs import copied
+from wigeonreach.scheduling._progress import ProgressTracker
+from wigeonreach.scheduling._speculation import runs_to_copy
 from wigeonreach.scheduling._workers import Workers
 
 # The leader checks leases every 0.05 s.  If a check is this late, the process
@@ -43,13 +43,13 @@
         self,
         store: JobStore,
         workers: Workers,
-        progress: ProgressWatch,
+        progress: ProgressTracker,
         now_s: float,
     ) -> None:
         """Start with no run given up."""
         self._store = store
         self._workers = workers
-        self.crashes = CrashWatch(store, workers, progress, now_s)
+        self.crashes = CrashTracker(store, workers, progress, now_s)
         self._last_check_s = now_s
         self._listening_since_s = now_s
 
@@ -68,13 +68,13 @@
             Clock in seconds.
         """
         for worker, ending in ended.items():
-            held = self._store.held_by(worker).items()
+            held = self._store.runs_of(worker).items()
             self.crashes.note_lost(ending.incarnation, held, now_s)
         over = {*ended, *self._unheard_workers(now_s)}
         return tuple(
             self._lost_end(worker, run)
             for worker in sorted(over)
-            for run in self._store.held_by(worker).items()
+            for run in self._store.runs_of(worker).items()
         )
 
     def to_be_copied(self, now_s: float) -> tuple[RunEnded, ...]:
@@ -82,7 +82,7 @@
         if not self._has_listened_long(now_s):
             return ()
         incarnations = self._workers.incarnations
-        found = tuple(copied(incarnations, self._store, now_s))
+        found = tuple(runs_to_copy(incarnations, self._store, now_s))
         for incarnation, run in found:
             self.crashes.note_lost(incarnation, (run,), now_s)
         return tuple(
@@ -92,7 +92,7 @@
 
     def _unheard_workers(self, now_s: float) -> Iterator[str]:
         """Yield the ended workers with runs that are not tracked any more."""
-        for worker in tuple(self._store.assigned):
+        for worker in tuple(self._store.assigned_runs):
             if not self._workers.is_over(worker, now_s):
                 continue
             if not self._workers.was_heard(worker):
--- a/src/wigeonreach/scheduling/_maintenance.py
+++ b/src/wigeonreach/scheduling/_maintenance.py
@@ -13,8 +13,8 @@
 from collections.abc import Collection
 
 from wigeonreach.jobs import JobStore, Run, VmStep, WaveRecord
+from wigeonreach.scheduling._disruption_budget import DisruptionBudget, is_empty
 from wigeonreach.scheduling._incarnation import Incarnation
-from wigeonreach.scheduling._moving_out import DisruptionBudget, is_empty
 from wigeonreach.scheduling._vms import VmPhase, VmRecord
 from wigeonreach.scheduling._workers import Workers
 from wigeonreach.wire._worker_messages import worker_id_of
@@ -69,7 +69,7 @@
         The incarnations of the workers.
     disruption_budget
         Decides which serving runs may be stopped.
-    maintained_s
+    maintenance_s
         How long a VM is unavailable during its maintenance.
     """
 
@@ -78,10 +78,10 @@
         store: JobStore,
         workers: Workers,
         disruption_budget: DisruptionBudget,
-        maintained_s: float,
+        maintenance_s: float,
     ) -> None:
         """Start with no VM being emptied."""
-        self._maintained_s = maintained_s
+        self._maintenance_s = maintenance_s
         self._busy_ids_cache: frozenset[str] | None = None
         self._store = store
         self._workers = workers
@@ -217,7 +217,7 @@
         at_once = wave.limit
         if self._run_count(vm):
             at_once = min(at_once, self._required_concurrency(wave, now_s))
-        return wave.ordered + len(emptying) < at_once
+        return wave.ordered_count + len(emptying) < at_once
 
     def _required_concurrency(self, wave: WaveRecord, now_s: float) -> int:
         """Return how many VMs at once are needed to end a wave in time."""
@@ -227,7 +227,7 @@
         left_s = wave.due_after_s * _PLANNED_RATIO - (now_s - began_s)
         if left_s <= _VM_TURNAROUND_S:
             return wave.limit
-        return math.ceil(wave.left * _VM_TURNAROUND_S / left_s)
+        return math.ceil(wave.remaining_count * _VM_TURNAROUND_S / left_s)
 
     def _candidates(
         self,
@@ -268,7 +268,7 @@
         incarnation = self._workers.of_vm(vm)
         if incarnation is None:
             return 0
-        return len(self._store.held_by(incarnation.report.worker))
+        return len(self._store.runs_of(incarnation.report.worker))
 
     def _is_within_pool_share(self, vm: str) -> bool:
         incarnation = self._workers.of_vm(vm)
@@ -296,12 +296,12 @@
         """
         if self._busy_ids_cache is None:
             self._busy_ids_cache = frozenset(
-                map(worker_id_of, self._store.assigned)
+                map(worker_id_of, self._store.assigned_runs)
             )
         return self._busy_ids_cache
 
     def _batch_runs(self, incarnation: Incarnation) -> list[Run]:
-        held = self._store.held_by(incarnation.report.worker)
+        held = self._store.runs_of(incarnation.report.worker)
         return [run for run in held.items() if self._store.is_batch(run[0])]
 
     def _is_back(self, wave: WaveRecord, vm: str) -> bool:
@@ -326,5 +326,7 @@
         if record.worker != worker_id_of(wave.vms[vm].worker):
             return True
         # There is no worker, or one that may have restarted under the same id.
-        is_maintenance_over = self._listed_s - confirmed_s >= self._maintained_s
+        is_maintenance_over = (
+            self._listed_s - confirmed_s >= self._maintenance_s
+        )
         return is_maintenance_over or not record.worker
--- a/src/wigeonreach/scheduling/_orders.py
+++ b/src/wigeonreach/scheduling/_orders.py
@@ -58,11 +58,11 @@
     drops answers that arrive too late.
     """
     worker = incarnation.report.worker
-    held = store.held_by(worker)
+    held = store.runs_of(worker)
     return WorkerOrders(
         lease_ms=LEASE_MS,
         fence=term,
-        acknowledged=incarnation.noted,
+        acknowledged=incarnation.last_recorded_end,
         starts=tuple(_starts(incarnation, store, stopping, tickets)),
         stops=tuple(_stops(incarnation, store, held, stopping)),
         paces=tuple(_paces(incarnation, store, pacing)),
@@ -100,7 +100,7 @@
     """Yield the assigned runs of a worker that it does not list."""
     listed = {(row.task, row.run) for row in incarnation.running}
     listed.update((ended.task, ended.run) for ended in incarnation.report.ended)
-    for run in store.held_by(incarnation.report.worker).items():
+    for run in store.runs_of(incarnation.report.worker).items():
         if run not in listed:
             yield run
 
@@ -114,17 +114,17 @@
     them itself, it would start these runs all the same and disturb its other
     runs.
     """
-    left = incarnation.room
+    left = incarnation.resources
     for row in incarnation.running:
         spec = store.spec_of(row.task)
         if spec is not None:
-            left -= spec.room
+            left -= spec.resources
     for run in unlisted_runs(incarnation, store):
         asked = store.spec_of(run[0])
         if asked is None:
             continue
-        if left.holds(asked.room):
-            left -= asked.room
+        if left.covers(asked.resources):
+            left -= asked.resources
         else:
             yield run
 
@@ -139,7 +139,9 @@
     spec = store.spec_of(key)
     if job is None or spec is None:
         return False
-    return not store.is_under_cap(job, spec, NO_AMOUNTS - spec.least_start)
+    return not store.is_under_cap(
+        job, spec, NO_AMOUNTS - spec.min_start_amounts
+    )
 
 
 def stop_reason(run: Run, incarnation: Incarnation, store: JobStore) -> str:
@@ -150,7 +152,7 @@
         return 'its job is unknown'
     if not job.is_active:
         return f'its job is {job.phase.name.lower()}'
-    if store.held_by(incarnation.report.worker).get(key) != number:
+    if store.runs_of(incarnation.report.worker).get(key) != number:
         return 'it was given up or replaced by another run'
     if incarnation.report.is_draining:
         return 'its worker is draining'
--- a/src/wigeonreach/scheduling/_scheduler.py
+++ b/src/wigeonreach/scheduling/_scheduler.py
@@ -14,22 +14,29 @@
 from wigeonreach.observe import LogEvent
 from wigeonreach.scheduling._advice import TicketCache
 from wigeonreach.scheduling._answers import HeartbeatAnswers
+from wigeonreach.scheduling._available_workers import (
+    AvailableWorkers,
+    CapacityByService,
+)
+from wigeonreach.scheduling._disruption_budget import DisruptionBudget
 from wigeonreach.scheduling._ends import RunEnds
-from wigeonreach.scheduling._incarnation import Heard, Incarnation, room_of
+from wigeonreach.scheduling._incarnation import (
+    HeartbeatResult,
+    Incarnation,
+    resources_of,
+)
 from wigeonreach.scheduling._lost_runs import LostRuns
 from wigeonreach.scheduling._maintenance import Maintenance
-from wigeonreach.scheduling._moving_out import DisruptionBudget
-from wigeonreach.scheduling._notes import Note
-from wigeonreach.scheduling._open_rooms import OpenRooms, PoolRooms
+from wigeonreach.scheduling._notes import LogNote
 from wigeonreach.scheduling._pacing import Pacing
 from wigeonreach.scheduling._placing import Plan
-from wigeonreach.scheduling._progress import ProgressWatch
+from wigeonreach.scheduling._progress import ProgressTracker
 from wigeonreach.scheduling._ready import ReadyStep, ReadySteps
 from wigeonreach.scheduling._settings import SchedulingSettings
 from wigeonreach.scheduling._stops import RunStops
 from wigeonreach.scheduling._workers import Workers
 from wigeonreach.scheduling.pooling import Move, PoolPlanner
-from wigeonreach.scheduling.sharing import CapWatch
+from wigeonreach.scheduling.sharing import CapTracker
 from wigeonreach.wire._worker_messages import WorkerReport
 
 _DEFAULTS = SchedulingSettings()
@@ -72,9 +79,9 @@
         self.term = term
         self.workers = Workers(now_s)
         self.pacing = Pacing()
-        self.progress = ProgressWatch()
+        self.progress = ProgressTracker()
         self.advice = TicketCache()
-        self.notes: list[Note] = []
+        self.notes: list[LogNote] = []
         self.disruption_budget = DisruptionBudget(
             store,
             self.workers.incarnations,
@@ -85,7 +92,7 @@
             store,
             self.workers,
             self.disruption_budget,
-            settings.maintained_s,
+            settings.maintenance_s,
         )
         self.pools = PoolPlanner(store, self.workers, settings, now_s)
         self.stopping: set[Run] = set()
@@ -109,10 +116,10 @@
             self.notes,
         )
         self.ready = ReadySteps()
-        self.caps = CapWatch(store)
+        self.cap_tracker = CapTracker(store)
         self._lost_runs = LostRuns(store, self.workers, self.progress, now_s)
         self.crashes = self._lost_runs.crashes
-        self._rooms = OpenRooms(
+        self._available = AvailableWorkers(
             store,
             self.workers,
             self.progress,
@@ -125,30 +132,32 @@
         # label.
         self._unplaced_vms: dict[str, dict[str, float]] = {}
         self._store = store
-        store.changed.update(store.jobs)
+        store.changed_jobs.update(store.jobs)
         self.ready.refresh(store, now_s, wall_ms)
 
-    def hear(
+    def process_heartbeat(
         self,
         report: WorkerReport,
         now_s: float,
-    ) -> Heard | None:
+    ) -> HeartbeatResult | None:
         """Apply a heartbeat; return None if it is outdated or foreign."""
         if self.is_foreign(report):
             return None
         known = self.workers.incarnations.get(report.worker)
         before = known.report if known else None
-        incarnation = self.workers.hear(report, now_s)
+        incarnation = self.workers.process_heartbeat(report, now_s)
         if incarnation is None:
             return None
         if before is not None and before.sequence == report.sequence:
             # The repeat is already applied, but its ends may not be recorded.
-            return Heard(incarnation, tuple(self._ends.reported(incarnation)))
-        self._rooms.forget(report.worker)
+            return HeartbeatResult(
+                incarnation, tuple(self._ends.reported(incarnation))
+            )
+        self._available.forget(report.worker)
         self.crashes.note_heard(incarnation)
-        self.caps.strays.note_heard(incarnation)
+        self.cap_tracker.untracked_runs.on_heartbeat(incarnation)
         self._note_report_changes(incarnation, before, now_s)
-        paced = self.pacing.note(incarnation, self._store)
+        paced = self.pacing.on_heartbeat(incarnation, self._store)
         self._add_note(LogEvent.WORKER_PACED, incarnation, paced)
         ends = (
             *self._ends.reported(incarnation),
@@ -160,7 +169,7 @@
         stalled = self._stops.stop_stalled(incarnation, now_s)
         if report.is_draining:
             self._stop_serving_runs(incarnation, now_s)
-        return Heard(incarnation, ends, stalled)
+        return HeartbeatResult(incarnation, ends, stalled)
 
     def _note_report_changes(
         self,
@@ -176,8 +185,8 @@
         if report.is_draining and not (before and before.is_draining):
             left = f'has {report.drain_left_ms} ms left'
             self._add_note(LogEvent.WORKER_DRAINING, incarnation, left)
-        if before is not None and room_of(before) != incarnation.room:
-            has = f'has {incarnation.room}, had {room_of(before)}'
+        if before is not None and resources_of(before) != incarnation.resources:
+            has = f'has {incarnation.resources}, had {resources_of(before)}'
             self._add_note(LogEvent.WORKER_RESIZED, incarnation, has)
 
     def is_foreign(self, report: WorkerReport) -> bool:
@@ -194,21 +203,21 @@
             return report.service != known.report.service
         if self.workers.by_vm.lacks_start_time(report):
             return True
-        is_named = self._store.names_service(report.service)
-        return not is_named and not self._store.held_by(report.worker)
+        is_named = self._store.has_service(report.service)
+        return not is_named and not self._store.runs_of(report.worker)
 
-    def lost(self, now_s: float) -> tuple[RunEnded, ...]:
+    def take_lost_runs(self, now_s: float) -> tuple[RunEnded, ...]:
         """Return the runs of lost workers, which are to be reassigned."""
         ended = self.workers.ended(now_s)
         lost = self._lost_runs.of_ended_workers(ended, now_s)
         for worker, ending in ended.items():
-            note = Note(LogEvent.WORKER_ENDED, worker, ending.reason)
+            note = LogNote(LogEvent.WORKER_ENDED, worker, ending.reason)
             self.notes.append(note)
             self.pacing.forget(worker)
             self.quarantine.forget(worker)
-            self._rooms.forget(worker)
-            self.caps.strays.forget(worker)
-            self.progress.forget(worker, self._store.held_by(worker))
+            self._available.forget(worker)
+            self.cap_tracker.untracked_runs.forget(worker)
+            self.progress.forget(worker, self._store.runs_of(worker))
         self._drop_ended_stops()
         for run_lost in lost:
             self._stops.stop_gang(run_lost.task)
@@ -216,10 +225,12 @@
         doubled = self._lost_runs.to_be_copied(now_s)
         for run_doubled in doubled:
             self.progress.forget_run((run_doubled.task, run_doubled.run))
-            self.caps.strays.note_copied(run_doubled.worker, run_doubled.task)
+            self.cap_tracker.untracked_runs.add(
+                run_doubled.worker, run_doubled.task
+            )
         return (*lost, *doubled)
 
-    def crashed(self, now_s: float) -> tuple[RunCrashed, ...]:
+    def crashes_to_record(self, now_s: float) -> tuple[RunCrashed, ...]:
         """Return the crashes to record; they repeat until they are recorded."""
         found = self.crashes.unrecorded(now_s)
         self.notes.extend(self.crashes.notes)
@@ -233,13 +244,13 @@
         if not steps:
             return ()
         needed = {self._store.service_of(step.job) for step in steps}
-        rooms = self.rooms(now_s, needed)
-        near = self.pools.near_rooms(now_s)
+        workers = self.available_workers(now_s, needed)
+        near = self.pools.data_locality(now_s)
         suspects = self.crashes.suspects(now_s)
-        cap_plan = self.caps.plan()
+        cap_plan = self.cap_tracker.begin_plan()
         plan = Plan(
             self._store,
-            rooms,
+            workers,
             self.advice,
             near,
             suspects,
@@ -247,14 +258,14 @@
             now_s,
         )
         plan.place(steps)
-        self.notes.extend(self.caps.note_plan(cap_plan))
-        made = plan.make_room(self.stopping, self.pools.vms.room)
+        self.notes.extend(self.cap_tracker.note_plan(cap_plan))
+        made = plan.preempt(self.stopping, self.pools.vms.vm_resources)
         self.stopping.update(made.stops)
-        self._unplaced_vms = made.homeless
+        self._unplaced_vms = made.unmet_vms
         for start in plan.starts:
-            # The cached capacity already lacks the room of this start, which
+            # The cached capacity already lacks the resources of this start, which
             # may never be recorded.
-            self._rooms.forget(start.worker)
+            self._available.forget(start.worker)
             self.workers.incarnations[start.worker].unlisted_starts.add(
                 (start.task, start.run),
             )
@@ -269,17 +280,17 @@
         for work in accepted:
             self.pools.note_accepted(work, now_s)
         self._stops.stop_stragglers(self.workers.incarnations, now_s)
-        steps = self.ready.in_order(
+        steps = self.ready.by_priority(
             now_s,
             wall_ms,
             self.workers.processors(now_s),
-            self.caps.processors(),
+            self.cap_tracker.processors(),
         )
         self.notes.extend(self.ready.notes)
         self.ready.notes.clear()
         return steps
 
-    def moves(
+    def plan_moves(
         self,
         now_s: float,
         held: Collection[str] = (),
@@ -294,9 +305,9 @@
             VMs that may not be ordered yet.
         """
         taken = self.maintenance.cordoned.union(held)
-        return self.pools.step(
-            self.caps.within(self.ready.work(now_s)),
-            self.ready.serving(),
+        return self.pools.plan_moves(
+            self.cap_tracker.limit_work(self.ready.remaining_work(now_s)),
+            self.ready.serving_workers(),
             self._unplaced_vms,
             taken,
             now_s,
@@ -307,7 +318,7 @@
             return
         held = {
             run
-            for assigned in self._store.assigned.values()
+            for assigned in self._store.assigned_runs.values()
             for run in assigned.items()
         }
         self.stopping &= held
@@ -327,16 +338,18 @@
         self, event: LogEvent, incarnation: Incarnation, reason: str
     ) -> None:
         if reason:
-            self.notes.append(Note(event, incarnation.report.worker, reason))
+            self.notes.append(LogNote(event, incarnation.report.worker, reason))
 
-    def rooms(
+    def available_workers(
         self,
         now_s: float,
         services: Collection[str],
-    ) -> PoolRooms:
+    ) -> CapacityByService:
         """Return the free resources on each worker of some services.
 
         Workers that accept no work now are left out.
         """
         cordoned = self.maintenance.cordoned | self.pools.cordoned
-        return self._rooms.of(services, cordoned, self.stopping, now_s)
+        return self._available.by_service(
+            services, cordoned, self.stopping, now_s
+        )
--- a/src/wigeonreach/scheduling/_second_runs.py
+++ b/src/wigeonreach/scheduling/_speculation.py
@@ -15,11 +15,11 @@
 
 from wigeonreach.jobs import JobStore, Run, TaskKey
 from wigeonreach.scheduling._incarnation import Incarnation
-from wigeonreach.scheduling._progress import ProgressWatch
+from wigeonreach.scheduling._progress import ProgressTracker
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Laggards:
+class Stragglers:
     """Runs of a slow worker that would end sooner on another worker.
 
     Attributes
@@ -28,34 +28,34 @@
         The slow worker.
     runs
         The runs that would end sooner elsewhere.
-    slower_times
+    slowdown_factor
         Slowdown factor compared with the other workers.
     """
 
     worker: str
     runs: tuple[Run, ...]
-    slower_times: float
+    slowdown_factor: float
 
 
-def laggards(
+def stragglers(
     incarnations: Mapping[str, Incarnation],
-    progress: ProgressWatch,
+    progress: ProgressTracker,
     store: JobStore,
     now_s: float,
-) -> Iterator[Laggards]:
+) -> Iterator[Stragglers]:
     """Yield each slow worker with the runs to be restarted elsewhere."""
     by_service: dict[str, list[str]] = collections.defaultdict(list)
     for worker, known in incarnations.items():
         by_service[known.report.service].append(worker)
     for workers in by_service.values():
         slow = progress.slow(workers, now_s)
-        for slow_worker, slower_times in slow.items():
+        for slow_worker, slowdown_factor in slow.items():
             incarnation = incarnations[slow_worker]
-            runs = progress.laggards(incarnation, store, slower_times)
-            yield Laggards(slow_worker, tuple(runs), slower_times)
+            runs = progress.stragglers(incarnation, store, slowdown_factor)
+            yield Stragglers(slow_worker, tuple(runs), slowdown_factor)
 
 
-def copied(
+def runs_to_copy(
     incarnations: Mapping[str, Incarnation],
     store: JobStore,
     now_s: float,
@@ -69,13 +69,13 @@
     for worker, incarnation in incarnations.items():
         if not incarnation.is_silent(now_s):
             continue
-        for run in store.held_by(worker).items():
+        for run in store.runs_of(worker).items():
             if _may_be_copied(run[0], store):
                 yield incarnation, run
 
 
 def _may_be_copied(key: TaskKey, store: JobStore) -> bool:
     task = store.task_of(key)
-    if task is None or not store.may_run_twice(key):
+    if task is None or not store.allows_copies(key):
         return False
     return not task.crashes
--- a/src/wigeonreach/scheduling/_vms.py
+++ b/src/wigeonreach/scheduling/_vms.py
@@ -9,7 +9,7 @@
 
 # An order can't be carried out any more this long after its record: the leader
 # is confirmed first, and the call to the platform times out after 2 s.
-ORDER_LASTS_S = 3.0
+ORDER_TIMEOUT_S = 3.0
 
 
 class VmPhase(enum.StrEnum):
--- a/src/wigeonreach/scheduling/_room_left.py
+++ b/src/wigeonreach/scheduling/_worker_capacity.py
@@ -5,23 +5,23 @@
 import collections
 import dataclasses
 
-from wigeonreach._room import Room
+from wigeonreach._resources import Resources
 from wigeonreach.jobs import JobStore, StepSpec, TaskKey
-from wigeonreach.scheduling._evidence import SOUND_S
+from wigeonreach.scheduling._evidence import CLEARED_AFTER_S
 from wigeonreach.scheduling._incarnation import Incarnation
-from wigeonreach.scheduling._progress import ProgressWatch
-from wigeonreach.scheduling._suspects import CRASHES_BEFORE_TRIAL, Apart
+from wigeonreach.scheduling._progress import ProgressTracker
+from wigeonreach.scheduling._suspects import CRASHES_BEFORE_ISOLATION, Isolation
 
 
 @dataclasses.dataclass(slots=True)
-class WorkerRoom:
+class WorkerCapacity:
     """Free capacity of one worker while a plan is made.
 
     Attributes
     ----------
     incarnation
         The worker.
-    left
+    free
         Free capacity.
     steps
         Number of tasks on it, by job id, occurrence and step.
@@ -43,12 +43,12 @@
         Job of a task that has to run alone, as two of its workers crashed.
     is_closed
         Tasks of other jobs may not be placed beside that task.
-    has_crashed_lately
+    has_crashed_recently
         An earlier worker of its VM crashed a short time ago.
     """
 
     incarnation: Incarnation
-    left: Room
+    free: Resources
     steps: collections.Counter[tuple[str, int, int]]
     serving: int = 0
     has_target: bool = False
@@ -58,7 +58,7 @@
     suspects: set[str] = dataclasses.field(default_factory=set)
     trial_job: str = ''
     is_closed: bool = False
-    has_crashed_lately: bool = False
+    has_crashed_recently: bool = False
 
     @property
     def name(self) -> str:
@@ -71,7 +71,7 @@
 
     def add(self, key: TaskKey, spec: StepSpec) -> None:
         """Place a task on the worker."""
-        self.left = self.left - spec.room
+        self.free = self.free - spec.resources
         self.steps[key.job_id, key.occurrence, key.step] += 1
         self.serving += spec.is_service
         self.has_target |= spec.is_service and spec.latency_target_ms > 0
@@ -83,25 +83,25 @@
         if self.is_closed and key.job_id != self.trial_job:
             # Users wait for serving tasks, so a closed worker is not excluded
             # for these, though it may cost more.
-            return spec.is_service and self._has_room(key, spec)
-        return self._has_room(key, spec)
+            return spec.is_service and self._fits(key, spec)
+        return self._fits(key, spec)
 
     def add_suspect(self, job_id: str, crashes: int) -> None:
         """Record that a task on the worker may crash it."""
         if crashes:
             self.suspects.add(job_id)
-        if crashes >= CRASHES_BEFORE_TRIAL:
+        if crashes >= CRASHES_BEFORE_ISOLATION:
             self.trial_job = job_id
 
     def runs_other_jobs(self, job_id: str) -> bool:
         """Whether tasks of other jobs are on the worker."""
         return any(step_key[0] != job_id for step_key in self.steps)
 
-    def isolates(self, job_id: str, isolation: Apart) -> bool:
+    def isolates(self, job_id: str, isolation: Isolation) -> bool:
         """Whether the worker gives a job's task the isolation it needs."""
-        if isolation is Apart.FROM_SUSPECTS:
+        if isolation is Isolation.FROM_SUSPECTS:
             return self.suspects <= {job_id}
-        if isolation is Apart.FROM_ALL:
+        if isolation is Isolation.FROM_ALL:
             is_own_trial = self.is_closed and self.trial_job == job_id
             return is_own_trial and not self.runs_other_jobs(job_id)
         return True
@@ -111,16 +111,18 @@
         if self.serving or self.trial_job or self.is_reserved:
             return False
         has_label = not spec.label or spec.label in self._labels
-        return has_label and self.incarnation.room.holds(spec.room)
+        return has_label and self.incarnation.resources.covers(spec.resources)
 
-    def _has_room(self, key: TaskKey, spec: StepSpec) -> bool:
-        return self.left.holds(spec.room) and self.meets_constraints(key, spec)
+    def _fits(self, key: TaskKey, spec: StepSpec) -> bool:
+        return self.free.covers(spec.resources) and self.meets_constraints(
+            key, spec
+        )
 
     def count(self, key: TaskKey, spec: StepSpec) -> int:
         """Return how many tasks of a step may be placed on the worker."""
         if not self.holds(key, spec):
             return 0
-        fitting = self.left.count(spec.room)
+        fitting = self.free.count(spec.resources)
         if not spec.spread_limit:
             return fitting
         placed = self.steps[key.job_id, key.occurrence, key.step]
@@ -134,31 +136,36 @@
         return not spec.spread_limit or placed < spec.spread_limit
 
 
-def room_left(
+def worker_capacity(
     incarnation: Incarnation,
     store: JobStore,
-    progress: ProgressWatch,
-) -> WorkerRoom:
+    progress: ProgressTracker,
+) -> WorkerCapacity:
     """Return a worker's free capacity beside everything it may run."""
     worker = incarnation.report.worker
-    room = WorkerRoom(incarnation, incarnation.room, collections.Counter())
-    held = store.held_by(worker)
+    capacity = WorkerCapacity(
+        incarnation, incarnation.resources, collections.Counter()
+    )
+    held = store.runs_of(worker)
     for key, run in held.items():
-        _add_known(room, key, store)
+        _add_task(capacity, key, store)
         task = store.task_of(key)
         if task is None or not task.crash_count:
             continue
-        if progress.worked_s((key, run), incarnation.heard_s) < SOUND_S:
-            room.add_suspect(key.job_id, task.crash_count)
+        if (
+            progress.reported_for_s((key, run), incarnation.heard_s)
+            < CLEARED_AFTER_S
+        ):
+            capacity.add_suspect(key.job_id, task.crash_count)
     for row in incarnation.running:
         # A run that is no longer assigned to the worker still uses capacity
         # until the worker reports its end.
         if row.task not in held:
-            _add_known(room, row.task, store)
-    return room
+            _add_task(capacity, row.task, store)
+    return capacity
 
 
-def _add_known(room: WorkerRoom, key: TaskKey, store: JobStore) -> None:
+def _add_task(capacity: WorkerCapacity, key: TaskKey, store: JobStore) -> None:
     spec = store.spec_of(key)
     if spec is not None:
-        room.add(key, spec)
+        capacity.add(key, spec)
--- a/src/wigeonreach/scheduling/pooling/_pools.py
+++ b/src/wigeonreach/scheduling/pooling/_pools.py
@@ -21,9 +21,9 @@
     StepWork,
     backlog_by_service,
 )
+from wigeonreach.scheduling._disruption_budget import is_empty
 from wigeonreach.scheduling._incarnation import Incarnation
 from wigeonreach.scheduling._locality import DataLocality
-from wigeonreach.scheduling._moving_out import is_empty
 from wigeonreach.scheduling._ready import AcceptedWork
 from wigeonreach.scheduling._settings import SchedulingSettings
 from wigeonreach.scheduling._vms import VmRecord
@@ -130,13 +130,13 @@
         """VMs that get no new tasks."""
         return set(self._pending_moves)
 
-    def near_rooms(self, now_s: float) -> DataLocality:
+    def data_locality(self, now_s: float) -> DataLocality:
         """Return the data locality rules for one plan."""
         return DataLocality(self._far_factor, self.vms.incoming_racks(), now_s)
 
     def note_accepted(self, work: AcceptedWork, now_s: float) -> None:
         """Record work that was just accepted."""
-        vm_s = sum(step.vm_s(self.vms.room) for step in work.steps)
+        vm_s = sum(step.vm_s(self.vms.vm_resources) for step in work.steps)
         self._demand[work.service].note(vm_s, now_s)
 
     def note_vms(self, vms: Iterable[VmRecord]) -> None:
@@ -153,7 +153,7 @@
         self._pending_moves.pop(move.vm, None)
         self.vms.note_failed(move)
 
-    def step(
+    def plan_moves(
         self,
         work: Mapping[str, Iterable[StepWork]],
         serving: Mapping[str, int],
@@ -178,7 +178,7 @@
             Clock in seconds.
         """
         self.vms.refresh(now_s)
-        backlog = backlog_by_service(work, self.vms.room)
+        backlog = backlog_by_service(work, self.vms.vm_resources)
         need = ServingNeed(serving, unmet_vms)
         pools = self._pools(backlog, need, excluded_vms, now_s)
         self._fill_pools(pools, excluded_vms, now_s)
@@ -222,7 +222,7 @@
         for incarnation in self._workers.incarnations.values():
             vm = incarnation.report.vm
             is_free = vm not in excluded_vms and vm not in self._pending_moves
-            if is_free and incarnation.may_take(now_s):
+            if is_free and incarnation.accepts_work(now_s):
                 by_service[incarnation.report.service].append(incarnation)
         return by_service
 
--- a/src/wigeonreach/scheduling/sharing/_cap_plan.py
+++ b/src/wigeonreach/scheduling/sharing/_cap_plan.py
@@ -4,7 +4,7 @@
 
 from wigeonreach.jobs import JobRecord, JobStore, StepSpec
 from wigeonreach.scheduling.sharing._untracked_runs import UntrackedRuns
-from wigeonreach.workspaces import Amounts, UseBook
+from wigeonreach.workspaces import Amounts, WorkspaceUsage
 
 
 class CapPlan:
@@ -29,7 +29,7 @@
         """Start without planned runs."""
         self._store = store
         self._untracked = untracked
-        self._planned = UseBook()
+        self._planned = WorkspaceUsage()
         self.capped_jobs: dict[str, str] = {}
 
     def allows(self, job: JobRecord, step: StepSpec) -> bool:
@@ -48,7 +48,7 @@
             if not self._store.is_under_cap(job, step, usage):
                 self.capped_jobs[job.spec.job_id] = workspace
                 return count
-            usage += step.least_start
+            usage += step.min_start_amounts
         return wanted
 
     def add_start(self, job: JobRecord, need: Amounts) -> None:
--- a/src/wigeonreach/scheduling/sharing/_untracked_runs.py
+++ b/src/wigeonreach/scheduling/sharing/_untracked_runs.py
@@ -9,7 +9,7 @@
 
 from wigeonreach.jobs import JobStore, TaskKey
 from wigeonreach.scheduling._incarnation import Incarnation
-from wigeonreach.workspaces import Amounts, UseBook
+from wigeonreach.workspaces import Amounts, WorkspaceUsage
 
 # A workspace, and the amounts that a run takes of its cap.
 _Usage = tuple[str, Amounts]
@@ -28,22 +28,22 @@
         """Start without untracked runs."""
         self._store = store
         self._by_worker: dict[str, list[_Usage]] = {}
-        self._book = UseBook()
+        self._book = WorkspaceUsage()
 
     def used(self, workspace: str) -> Amounts:
         """Return the usage of a workspace's untracked runs."""
         return self._book.used(workspace)
 
-    def note_heard(self, incarnation: Incarnation) -> None:
+    def on_heartbeat(self, incarnation: Incarnation) -> None:
         """Recount a worker's reported runs whose tasks it is not assigned."""
         worker = incarnation.report.worker
         self.forget(worker)
-        held = self._store.held_by(worker)
+        held = self._store.runs_of(worker)
         for row in incarnation.running:
             if row.task not in held:
-                self.note_copied(worker, row.task)
+                self.add(worker, row.task)
 
-    def note_copied(self, worker: str, key: TaskKey) -> None:
+    def add(self, worker: str, key: TaskKey) -> None:
         """Count a run that may go on beside the next run of its task."""
         job = self._store.job_of(key)
         spec = self._store.spec_of(key)
--- a/tests/builders_days.py
+++ b/tests/builders_days.py
@@ -151,7 +151,7 @@
             machine.work[run] = left - 1
             self._progress(machine, run, left)
         if machine.late is not None and self.happens(30):
-            self.lead.scheduler.hear(machine.late, self.now_s)
+            self.lead.scheduler.process_heartbeat(machine.late, self.now_s)
             machine.late = None
         if self.now_s >= machine.cut_until_s:
             self._send(machine)
@@ -232,7 +232,7 @@
                 self.noted_done.add(ended.task)
 
     def _check_not_done(self, key: TaskKey) -> None:
-        is_single = not self.store.may_run_twice(key)
+        is_single = not self.store.allows_copies(key)
         if key in self.noted_done and is_single:
             raise BrokenRuleError(f'{key}: started again after it succeeded')
 
--- a/tests/platform/test_decoding.py
+++ b/tests/platform/test_decoding.py
@@ -88,7 +88,7 @@
                 step.is_filler,
                 step.spread_limit,
                 step.data_rack,
-                step.may_miss,
+                step.max_unavailable,
                 step.latency_target_ms,
             ),
             matchers.Equals((True, True, True, 2, 'r1-3', 1, 80)),
@@ -96,9 +96,9 @@
 
     def test_filler_takes_no_processors(self) -> None:
         """It runs on processors that others leave idle; its memory counts."""
-        room = decode_job(_job(utilisation=True)).steps[0].room
-        self.assertThat(room.processors, matchers.Equals(0))
-        self.assertThat(room.memory_bytes, matchers.GreaterThan(0))
+        resources = decode_job(_job(utilisation=True)).steps[0].resources
+        self.assertThat(resources.processors, matchers.Equals(0))
+        self.assertThat(resources.memory_bytes, matchers.GreaterThan(0))
 
     def test_invalid_jobs_are_refused(self) -> None:
         """Each with the result code for an invalid job."""
@@ -342,7 +342,9 @@
         self.assertThat(core.voter_target, matchers.Equals(5))
         self.assertThat(core.order_pause_s, matchers.Equals(3))
         self.assertThat(core.scheduling.stop_s, matchers.Equals(0.9))
-        self.assertThat(core.scheduling.notice_s, matchers.Equals(6.5))
+        self.assertThat(
+            core.scheduling.unavailable_after_s, matchers.Equals(6.5)
+        )
 
     def test_invalid_files_are_refused(self) -> None:
         """A file is missing, truncated or has values of wrong types."""
--- a/tests/scheduling/sharing/test_caps.py
+++ b/tests/scheduling/sharing/test_caps.py
@@ -23,13 +23,13 @@
 from wigeonreach.jobs import JobStore, Manifest, RunEnd, SetManifest
 from wigeonreach.jobs._model import StepSpec
 from wigeonreach.lab import commit
-from wigeonreach.scheduling._incarnation import LEASE_OVER_S
+from wigeonreach.scheduling._incarnation import LEASE_EXPIRED_S
 from wigeonreach.standins import StandInWorker
 from wigeonreach.workspaces import NO_AMOUNTS, Amounts, fits_cap
 
 _MINE = 1
 _OTHERS = 2
-_LEASE_ROUNDS = int(LEASE_OVER_S * 10) + 2
+_LEASE_ROUNDS = int(LEASE_EXPIRED_S * 10) + 2
 
 
 def _store(cap: Amounts) -> JobStore:
@@ -184,7 +184,9 @@
         lead = FakeLead(store, workers(1))
         lead.hear(lead.workers['w0'])
         lead.plan()
-        self.assertThat(store.use.used(CLUB).millicores, matchers.Equals(4_000))
+        self.assertThat(
+            store.usage.used(CLUB).millicores, matchers.Equals(4_000)
+        )
         _change_cap(store, Amounts(2_000))
         lead.round()
         self.assertThat(_count_running(lead, _MINE), matchers.LessThan(3))
@@ -209,8 +211,8 @@
         restored = JobStore()
         restored.restore(store.snapshot())
         self.assertThat(
-            restored.use.by_workspace,
-            matchers.Equals(store.use.by_workspace),
+            restored.usage.by_workspace,
+            matchers.Equals(store.usage.by_workspace),
         )
 
 
@@ -224,12 +226,12 @@
             add(store, numbered_job(_MINE, step(100, estimate_ms=4_000)))
             lead = FakeLead(store, workers(1))
             lead.round()
-            work = lead.scheduler.caps.within(
-                lead.scheduler.ready.work(lead.now_s),
+            work = lead.scheduler.cap_tracker.limit_work(
+                lead.scheduler.ready.remaining_work(lead.now_s),
             )
-            lead.scheduler.moves(lead.now_s)
+            lead.scheduler.plan_moves(lead.now_s)
             vm_s = sum(
-                owed.vm_s(lead.scheduler.pools.vms.room)
+                owed.vm_s(lead.scheduler.pools.vms.vm_resources)
                 for steps in work.values()
                 for owed in steps
             )
--- a/tests/scheduling/test_random_moving.py
+++ b/tests/scheduling/test_random_moving.py
@@ -36,7 +36,7 @@
     VmStep,
 )
 from wigeonreach.lab import BrokenRuleError, commit
-from wigeonreach.scheduling import _moving_out
+from wigeonreach.scheduling import _disruption_budget
 from wigeonreach.standins import StandInWorker
 from wigeonreach.wire._worker_messages import WorkerOrders
 
@@ -87,7 +87,7 @@
         self.serial = itertools.count(1)
         self.waves = itertools.count(1)
         self.store = store_with()
-        self.may_miss = self.rng.choice((1, 2))
+        self.max_unavailable = self.rng.choice((1, 2))
         self.lead = FakeLead(self.store, ())
         self.vms = [
             _Vm(f'vm{number}', StandInWorker(f'w{number}', f'vm{number}'))
@@ -98,7 +98,7 @@
         self.not_serving_since: dict[TaskKey, int] = {}
         self.unrecorded: tuple[RunStarted, ...] = ()
         self.vm_orders: list[tuple[int, int, str, str]] = []
-        serving = serving_step(_TASKS, may_miss=self.may_miss)
+        serving = serving_step(_TASKS, max_unavailable=self.max_unavailable)
         commit(self.store, AddJob(job(serving, job_id='a' * 16), QUEUE))
 
     def step(self) -> None:
@@ -214,7 +214,7 @@
 
     def _decide(self) -> None:
         lead = self.lead
-        lost = lead.scheduler.lost(lead.now_s)
+        lost = lead.scheduler.take_lost_runs(lead.now_s)
         commit(self.store, RecordRuns(lead.term, ends=lost))
         # Orders for VMs are decided while starts are not recorded yet.
         found = lead.scheduler.maintenance.step(
@@ -298,7 +298,11 @@
             or self.now - self.not_serving_since.get(key, self.now)
             >= _NOTICE_STEPS
         }
-        if is_serving and vm.keeps_runs and len(unavailable) >= self.may_miss:
+        if (
+            is_serving
+            and vm.keeps_runs
+            and len(unavailable) >= self.max_unavailable
+        ):
             raise BrokenRuleError(
                 f'{run}: {len(unavailable)} others are unavailable'
             )
@@ -324,7 +328,7 @@
     def test_stops_that_are_forgotten_are_found(self) -> None:
         """Every run counts as serving, even while it is being stopped."""
         forgetful = mock.patch.object(
-            _moving_out,
+            _disruption_budget,
             '_is_listed_serving',
             lambda incarnation, run: True,
         )
--- a/tests/scheduling/test_scheduler.py
+++ b/tests/scheduling/test_scheduler.py
@@ -22,7 +22,7 @@
 from wigeonreach.jobs import AddJob, JobPhase, RunEnd, RunEnded
 from wigeonreach.lab import commit
 from wigeonreach.scheduling import Scheduler
-from wigeonreach.scheduling._incarnation import LEASE_OVER_S
+from wigeonreach.scheduling._incarnation import LEASE_EXPIRED_S
 from wigeonreach.standins import StandInWorker
 from wigeonreach.wire._worker_messages import RunningTask, WorkerReport
 
@@ -50,7 +50,7 @@
         ]
         self.assertThat(running, matchers.Equals([(key(0, 1), 1)]))
 
-    def test_room_of_a_stopping_run_is_taken(self) -> None:
+    def test_resources_of_a_stopping_run_are_taken(self) -> None:
         """A run being stopped uses resources until its end is listed."""
         store = store_with(job(step(1, cpu_millicores=_FULL)))
         lead = FakeLead(store, workers(1))
@@ -59,9 +59,9 @@
         worker = lead.workers['w0']
         lead.hear(worker)
         self.assertThat(lead.plan(), matchers.HasLength(0))
-        rooms = lead.scheduler.rooms(lead.now_s, {SERVICE})
-        left = rooms['desk'][0].left
-        self.assertThat(left.processors, matchers.Equals(0))
+        capacities = lead.scheduler.available_workers(lead.now_s, {SERVICE})
+        free = capacities['desk'][0].free
+        self.assertThat(free.processors, matchers.Equals(0))
 
     def test_draining_worker_gets_nothing(self) -> None:
         """A run that was assigned to it but did not begin is reassigned."""
@@ -89,7 +89,7 @@
         self.assertThat(lead.workers['w0'].running, matchers.HasLength(0))
 
     def test_failed_task_tries_another_worker(self) -> None:
-        """A task that failed on a worker goes elsewhere if there is room."""
+        """A task that failed on a worker goes elsewhere if there is capacity."""
         lead = FakeLead(store_with(job()), workers(2))
         lead.round()
         first = next(
@@ -104,10 +104,10 @@
         gang = step(3, cpu_millicores=_FULL, is_gang=True)
         lead = FakeLead(store_with(job(gang)), workers(2))
         lead.round()
-        self.assertThat(lead.store.assigned, matchers.HasLength(0))
+        self.assertThat(lead.store.assigned_runs, matchers.HasLength(0))
         lead.workers['w2'] = StandInWorker('w2', 'vm2')
         lead.round()
-        self.assertThat(lead.store.assigned, matchers.HasLength(3))
+        self.assertThat(lead.store.assigned_runs, matchers.HasLength(3))
 
 
 class TestLeases(testtools.TestCase):
@@ -117,20 +117,28 @@
         """A task runs nowhere else before the lease has certainly expired."""
         lead = FakeLead(store_with(job()), workers(1))
         lead.round()
-        lead.now_s += LEASE_OVER_S - 0.05
-        self.assertThat(lead.scheduler.lost(lead.now_s), matchers.HasLength(0))
+        lead.now_s += LEASE_EXPIRED_S - 0.05
+        self.assertThat(
+            lead.scheduler.take_lost_runs(lead.now_s), matchers.HasLength(0)
+        )
         lead.now_s += 0.1
-        self.assertThat(lead.scheduler.lost(lead.now_s), matchers.HasLength(1))
+        self.assertThat(
+            lead.scheduler.take_lost_runs(lead.now_s), matchers.HasLength(1)
+        )
 
     def test_new_leader_waits_out_unknown_leases(self) -> None:
         """An earlier leader may have answered just before the term began."""
         store = store_with(job())
         FakeLead(store, workers(1)).round()
         lead = FakeLead(store, [StandInWorker('w1', 'vm1')])
-        lead.now_s = LEASE_OVER_S - 0.05
-        self.assertThat(lead.scheduler.lost(lead.now_s), matchers.HasLength(0))
-        lead.now_s = LEASE_OVER_S
-        self.assertThat(lead.scheduler.lost(lead.now_s), matchers.HasLength(1))
+        lead.now_s = LEASE_EXPIRED_S - 0.05
+        self.assertThat(
+            lead.scheduler.take_lost_runs(lead.now_s), matchers.HasLength(0)
+        )
+        lead.now_s = LEASE_EXPIRED_S
+        self.assertThat(
+            lead.scheduler.take_lost_runs(lead.now_s), matchers.HasLength(1)
+        )
 
     def test_order_that_had_no_effect_ends_no_incarnation(self) -> None:
         """The platform also confirms orders that it carried out long before."""
@@ -141,11 +149,11 @@
             lead.workers['w0'].advance(percent)
             lead.round(0.2)
             self.assertThat(
-                lead.scheduler.lost(lead.now_s),
+                lead.scheduler.take_lost_runs(lead.now_s),
                 matchers.HasLength(0),
             )
         self.assertThat(
-            lead.scheduler.workers.incarnations['w0'].may_take(lead.now_s),
+            lead.scheduler.workers.incarnations['w0'].accepts_work(lead.now_s),
             matchers.Is(True),
         )
 
@@ -155,7 +163,7 @@
         lead.round()
         lead.scheduler.workers.note_ordered('w0', lead.now_s)
         self.assertThat(
-            lead.scheduler.workers.incarnations['w0'].may_take(lead.now_s),
+            lead.scheduler.workers.incarnations['w0'].accepts_work(lead.now_s),
             matchers.Is(False),
         )
 
@@ -165,7 +173,9 @@
         worker = lead.workers['w0']
         late = worker.report()
         lead.round()
-        self.assertThat(lead.scheduler.hear(late, 5.0), matchers.Is(None))
+        self.assertThat(
+            lead.scheduler.process_heartbeat(late, 5.0), matchers.Is(None)
+        )
 
     def test_late_heartbeat_of_an_ended_worker_ends_no_successor(self) -> None:
         """One heartbeat of an old incarnation does not end the new one."""
@@ -194,7 +204,7 @@
 
 
 def _ends(lead: FakeLead, report: WorkerReport) -> tuple[RunEnded, ...]:
-    heard = lead.scheduler.hear(report, lead.now_s)
+    heard = lead.scheduler.process_heartbeat(report, lead.now_s)
     assert heard is not None
     return heard.ends
 
@@ -210,7 +220,7 @@
         worker.end((key(0), 1), RunEnd.FAILED)
         report = worker.report()
         self.assertThat(_ends(lead, report), matchers.HasLength(1))
-        lead.scheduler.workers.incarnations['w0'].noted = 1
+        lead.scheduler.workers.incarnations['w0'].last_recorded_end = 1
         self.assertThat(_ends(lead, worker.report()), matchers.HasLength(0))
 
     def test_cancelled_job_is_stopped(self) -> None:
@@ -253,7 +263,7 @@
         lead.round()
         serving = job(serving_step(2), job_id=OTHER_JOB)
         lead.store.jobs.update(store_with(serving).jobs)
-        lead.store.changed.add(OTHER_JOB)
+        lead.store.changed_jobs.add(OTHER_JOB)
         for _ in range(4):
             lead.round()
         served = [
--- a/tests/scheduling/test_stale_heartbeats.py
+++ b/tests/scheduling/test_stale_heartbeats.py
@@ -85,7 +85,7 @@
         after.round()
         self.assertThat(self.worker.running, running)
 
-    def test_room_that_shrank_is_seen_once_the_worker_is_known(self) -> None:
+    def test_shrunk_capacity_is_seen_once_the_worker_is_known(self) -> None:
         """A start that was lost with the former leader is withdrawn later."""
         self.worker.running.clear()
         after = FakeLead(
@@ -115,10 +115,10 @@
         commit(store, AddJob(job(step()), 'bookings'))
         lead = FakeLead(store, workers(4))
         lead.round()
-        question = lead.scheduler.advice.questions()[0]
-        allowed = question.workers[0]
+        request = lead.scheduler.advice.pop_requests()[0]
+        allowed = request.workers[0]
         advice = Advice({allowed: 'paper'}, valid_s=3)
-        lead.scheduler.advice.note(question, advice, lead.now_s)
+        lead.scheduler.advice.record_advice(request, advice, lead.now_s)
         stale = lead.workers[allowed].report()
         lead.take(stale)
         lead.round()
